--- a/bayford/admission/features.py
+++ b/bayford/admission/features.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from bayford.storage import records
-from bayford.storage.store import Row
+from bayford.storage.key_value_store import Row
 
 ADMISSION = "admission"
 
--- a/bayford/cli.py
+++ b/bayford/cli.py
@@ -18,7 +18,7 @@
 from bayford.scheduling.policy import Policy
 
 if TYPE_CHECKING:
-    from bayford.storage.store import Row
+    from bayford.storage.key_value_store import Row
 
 log = logging.getLogger("bayford")
 
@@ -42,15 +42,15 @@
     """Run this controller until it is killed."""
     # Imported here: `check-config` and `--help` need none of it.
     from bayford.coordination.controller import Controller
-    from bayford.coordination.engine import Engine
+    from bayford.coordination.leader.scheduler import Engine
     from bayford.protocol import mesh, workers
     from bayford.protocol.cloud_api import CloudApi
-    from bayford.protocol.state_api import StateApi
-    from bayford.storage.store import OutcomeUnknownError, UnavailableError
-    from bayford.transport.client import Client
-    from bayford.transport.front import Front, Mesh
-    from bayford.transport.limit import Limit
-    from bayford.transport.server import Server
+    from bayford.protocol.key_value_api import StateApi
+    from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
+    from bayford.transport.concurrency_limit import Limit
+    from bayford.transport.http_client import Client
+    from bayford.transport.http_handlers import Front, Mesh
+    from bayford.transport.http_server import Server
 
     threading.stack_size(STACK)
     incarnation = f"{random.SystemRandom().getrandbits(48):012x}"
@@ -140,9 +140,9 @@
 
 def stored_rows(settings: Settings, prefixes: list[str]) -> list[list[Row]] | None:
     """What the state service holds below each prefix; None, and a complaint, if it is out."""
-    from bayford.protocol.state_api import StateApi
-    from bayford.storage.store import OutcomeUnknownError, UnavailableError
-    from bayford.transport.client import Client
+    from bayford.protocol.key_value_api import StateApi
+    from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
+    from bayford.transport.http_client import Client
 
     state = StateApi(Client(*split_address(settings.outside.state)).call)
     try:
@@ -155,7 +155,7 @@
 def show_zones(settings: Settings, as_json: bool) -> int:
     """Print what the state service holds of the zones' losses; exit status 1 if that can't be read."""
     from bayford.recovery import report
-    from bayford.recovery.record import UnreadableRecordError, decode
+    from bayford.recovery.zone_record import UnreadableRecordError, decode
     from bayford.storage import records
 
     found = stored_rows(settings, [records.ZONES])
--- a/bayford/coordination/acceptance_pace.py
+++ b/bayford/coordination/api/acceptance_rate.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from bayford.coordination.budget import Budget
+from bayford.coordination.token_bucket import Budget
 
 DECREASE = 0.5
 DECREASE_PAUSE_S = 0.25  # refusals so close to the last decrease are of the same rate
--- a/bayford/coordination/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -13,13 +13,13 @@
 from bayford.admission.choice import decide
 from bayford.admission.distinct import Sample, SubmittedJobs
 from bayford.admission.level import OTHER_CLASS, Flow, Level, UnreadableLevelError, decode
-from bayford.coordination.acceptance_pace import AcceptancePace
-from bayford.coordination.responses import Reply
+from bayford.coordination.api.acceptance_rate import AcceptancePace
+from bayford.coordination.api.responses import Reply
 from bayford.protocol import jobs
 from bayford.scheduling.model import URGENT, JobSpec
 from bayford.storage import records
-from bayford.storage.mirror import Mirror
-from bayford.storage.store import Row
+from bayford.storage.key_value_store import Row
+from bayford.storage.watch_cache import Mirror
 
 log = logging.getLogger("bayford.admission")
 
--- a/bayford/coordination/user_requests.py
+++ b/bayford/coordination/api/job_requests.py
@@ -11,15 +11,14 @@
 
 import msgspec
 
-from bayford.coordination.admission_gate import AdmissionGate
-from bayford.coordination.limits import Limits
-from bayford.coordination.responses import Reply
+from bayford.coordination.api.admission_gate import AdmissionGate
+from bayford.coordination.api.responses import Reply
+from bayford.coordination.store_limits import Limits
 from bayford.protocol import jobs
 from bayford.scheduling.model import ARRAY, JobSpec, MachineType
 from bayford.scheduling.quota import Share
 from bayford.storage import records
-from bayford.storage.mirror import Mirror
-from bayford.storage.store import (
+from bayford.storage.key_value_store import (
     LeaseGoneError,
     OutcomeUnknownError,
     Put,
@@ -28,6 +27,7 @@
     TooLargeError,
     UnavailableError,
 )
+from bayford.storage.watch_cache import Mirror
 
 log = logging.getLogger("bayford.users")
 
--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -8,29 +8,28 @@
 
 from bayford.admission.features import ADMISSION
 from bayford.config import Settings
-from bayford.coordination import handover
-from bayford.coordination import relay as relaying
-from bayford.coordination.admission_control import AdmissionControl, LedgerFacts, sample_of, told_of
-from bayford.coordination.admission_gate import AdmissionGate
-from bayford.coordination.autoscaler import FleetStep
-from bayford.coordination.batch import Batch
-from bayford.coordination.budget import Budget
-from bayford.coordination.cancellation_notices import CancellationNotices, Notify
-from bayford.coordination.cloud_calls import CloudCalls
-from bayford.coordination.engine import Engine
-from bayford.coordination.membership import Membership
-from bayford.coordination.peers import SERVED_S, Peers
-from bayford.coordination.responses import Reply
-from bayford.coordination.stall_detector import CHECK_PERIOD_S, StallDetector
-from bayford.coordination.user_requests import UserRequests
+from bayford.coordination.api.admission_gate import AdmissionGate
+from bayford.coordination.api.cancellation_notices import CancellationNotices, Notify
+from bayford.coordination.api.job_requests import UserRequests
+from bayford.coordination.api.responses import Reply
+from bayford.coordination.leader.admission_control import AdmissionControl, LedgerFacts, sample_of, told_of
+from bayford.coordination.leader.autoscaler import FleetStep
+from bayford.coordination.leader.cloud_operations import CloudCalls
+from bayford.coordination.leader.commit_batch import Batch
+from bayford.coordination.leader.scheduler import Engine
+from bayford.coordination.leadership import transfer
+from bayford.coordination.leadership.membership import Membership
+from bayford.coordination.leadership.peers import SERVED_S, Peers
+from bayford.coordination.leadership.stall_detector import CHECK_PERIOD_S, StallDetector
+from bayford.coordination.token_bucket import Budget
+from bayford.coordination.workers import relay as relaying
 from bayford.protocol import jobs, mesh, workers
 from bayford.protocol.cloud_api import Cloud, CloudBusyError
 from bayford.recovery.zone_health import OwnerFacts
 from bayford.scheduling.model import JobSpec
-from bayford.storage import records, summary
-from bayford.storage.counted import CountedStore
-from bayford.storage.mirror import Mirror
-from bayford.storage.store import (
+from bayford.storage import load_summary, records
+from bayford.storage.counting_store import CountedStore
+from bayford.storage.key_value_store import (
     LeaseGoneError,
     OutcomeUnknownError,
     Put,
@@ -39,6 +38,7 @@
     TooLargeError,
     UnavailableError,
 )
+from bayford.storage.watch_cache import Mirror
 
 log = logging.getLogger("bayford.controller")
 
@@ -340,13 +340,13 @@
         if (
             not self.engine.owner
             or now - self.engine.owner_since < facts.lease_s
-            or now - self._handover_tried < handover.RETRY_S
+            or now - self._handover_tried < transfer.RETRY_S
             or not self.sure_owner()
         ):
             return
-        contact = self.engine.worker_contact(now - handover.contact_window(facts.report_s))
+        contact = self.engine.worker_contact(now - transfer.contact_window(facts.report_s))
         candidates = set(self.membership.live()) - self.peers.older() - {self.name}
-        successor = handover.successor(contact, candidates)
+        successor = transfer.successor(contact, candidates)
         if successor is None:
             return
         self._handover_tried = now
@@ -381,7 +381,7 @@
             self.mirror.pull(0.0)
             if self.membership.view.stamp != view.stamp:
                 return
-            late = summary.newest(self.mirror.below(records.SUMMARIES), self.wall() - SUMMARY_OLD_S)
+            late = load_summary.newest(self.mirror.below(records.SUMMARIES), self.wall() - SUMMARY_OLD_S)
             as_of = self.mirror.as_of
             read_at = self.mirror.revision
             attempt = self.mirror.with_ledger(lambda ledger: ledger.next_attempt)
@@ -632,7 +632,7 @@
             picture = self.engine.summary()
             if picture and self.sure_owner():
                 most = self.limits.value_bytes
-                self._summary = summary.encode(self.name, self.wall(), picture, most, self._summary_keys)
+                self._summary = load_summary.encode(self.name, self.wall(), picture, most, self._summary_keys)
                 self._summary_keys = sum(put.value is not None for put in self._summary)
         if self._summary:
             put = self._summary.pop(0)
--- a/bayford/coordination/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -15,12 +15,12 @@
 from bayford.admission.level import KEY_BYTES, Flow, Level, encode
 from bayford.admission.load import AcceptanceCapacity, Rates
 from bayford.config import Team
-from bayford.coordination.admission_gate import LevelView
-from bayford.coordination.limits import Limits
+from bayford.coordination.api.admission_gate import LevelView
+from bayford.coordination.store_limits import Limits
 from bayford.protocol import mesh
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
-from bayford.storage.store import Put
+from bayford.storage.key_value_store import Put
 
 log = logging.getLogger("bayford.admission")
 
--- a/bayford/coordination/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
 
-from bayford.coordination.owner_state import OwnerState
-from bayford.coordination.scheduling_round import SchedulingRound
-from bayford.coordination.worker_reports import RUNS_S
+from bayford.coordination.leader.heartbeat_handler import RUNS_S
+from bayford.coordination.leader.leader_state import OwnerState
+from bayford.coordination.leader.scheduling_round import SchedulingRound
 from bayford.protocol.cloud_api import Listed
-from bayford.scheduling import fleet, placement
+from bayford.scheduling import placement_rules, scaling
 from bayford.scheduling.model import (
     EPS,
     URGENT,
@@ -21,7 +21,7 @@
 
 log = logging.getLogger("bayford.engine")
 
-Present = Sequence[tuple[fleet.Option, Machine]]  # the machines that count, by kind
+Present = Sequence[tuple[scaling.Option, Machine]]  # the machines that count, by kind
 
 UNCONFIRMED_CANCEL = "a cancelled task there is not confirmed stopped"
 
@@ -112,18 +112,18 @@
             self._rentals(step, now, waiting, groups, staying)
         return step
 
-    def _fleet(self) -> Iterator[tuple[fleet.Option, Machine]]:
+    def _fleet(self) -> Iterator[tuple[scaling.Option, Machine]]:
         """The machines that count: neither on their way back nor at fault."""
         for machine in self._state.machines.values():
             if machine.type is None or machine.zone is None or machine.quarantined or machine.deleting:
                 continue
-            yield fleet.Option(machine.type, machine.zone, machine.spot), machine
+            yield scaling.Option(machine.type, machine.zone, machine.spot), machine
 
-    def _needs(self, now: float, machines: Present) -> list[fleet.Need]:
+    def _needs(self, now: float, machines: Present) -> list[scaling.Need]:
         needs = []
         yields = self._yields(machines)
         room = {n: s.cpus_max - s.used_cpus for n, s in enumerate(self._state.shares)}
-        present: dict[fleet.Option, float] = {}  # CPUs, first of what is there, then of what is coming too
+        present: dict[scaling.Option, float] = {}  # CPUs, first of what is there, then of what is coming too
         for option, machine in machines:
             present[option] = present.get(option, 0.0) + machine.cpus
         cheap = sum(cpus for option, cpus in present.items() if option.spot)
@@ -150,8 +150,8 @@
             if job.spec.one_zone or job.spec.spread:
                 # A machine in a zone that is closed to what still waits is rented in vain, and again and
                 # again.
-                open_ = placement.zones_open(job, self._state.zone_of)
-                options = frozenset(o for o in options if placement.zone_allowed(job, o.zone, open_))
+                open_ = placement_rules.zones_open(job, self._state.zone_of)
+                options = frozenset(o for o in options if placement_rules.zone_allowed(job, o.zone, open_))
             hosts = sum(present.get(o, 0.0) for o in options)
             cheap_hosts = sum(present.get(o, 0.0) for o in options if o.spot)
             job.cheap_hosts = cheap_hosts > 0
@@ -174,7 +174,7 @@
                     cpus += dear * job.spec.cpus
             urgent = job.spec.priority >= URGENT
             needs.append(
-                fleet.Need(
+                scaling.Need(
                     options,
                     count,
                     job.spec.cpus,
@@ -192,7 +192,7 @@
         self._state.dear_serves = keep_dear or not cheap
         return needs
 
-    def _options(self, job: Job) -> frozenset[fleet.Option]:
+    def _options(self, job: Job) -> frozenset[scaling.Option]:
         """The kinds of machine that may serve the job."""
         options = set()
         for index, kind in enumerate(self._state.types):
@@ -204,15 +204,15 @@
                 zone = self._state.zones.index(zone_name)
                 if (job.zone is not None and zone != job.zone) or zone in self._state.closed_zones:
                     continue
-                options.add(fleet.Option(index, zone, False))
+                options.add(scaling.Option(index, zone, False))
                 if job.spec.spot:
-                    options.add(fleet.Option(index, zone, True))
+                    options.add(scaling.Option(index, zone, True))
         return frozenset(options)
 
-    def _yields(self, machines: Present) -> dict[fleet.Option, float]:
+    def _yields(self, machines: Present) -> dict[scaling.Option, float]:
         """CPUs that urgent work may have by kind of machine: all that it does not hold already, what is on
         its way included."""
-        out: dict[fleet.Option, float] = {}
+        out: dict[scaling.Option, float] = {}
         for option, machine in machines:
             held = sum(p.job.spec.cpus for p in machine.open.values() if p.job.spec.priority >= URGENT)
             out[option] = out.get(option, 0.0) + machine.cpus - held
@@ -221,7 +221,9 @@
         return out
 
     @staticmethod
-    def _yielded(yields: dict[fleet.Option, float], options: frozenset[fleet.Option], cpus: float) -> float:
+    def _yielded(
+        yields: dict[scaling.Option, float], options: frozenset[scaling.Option], cpus: float
+    ) -> float:
         """Take up to `cpus` of what the kinds in `options` yield; how much that was. The cheap ones first,
         since some work may have no others than the ordinary ones."""
         got = 0.0
@@ -232,7 +234,7 @@
                 got += part
         return got
 
-    def _standing_groups(self, now: float) -> list[fleet.Group]:
+    def _standing_groups(self, now: float) -> list[scaling.Group]:
         """What is standing, by the kinds of machine that may serve it, with the reserve for what comes next.
 
         Services of ordinary machines alone: these boot in longer than a service may be away, so their room
@@ -240,15 +242,15 @@
         once. The reserve grows with what stands and with what was accepted lately, which is the pace at
         which it grows; where the users' aims name services and none has come yet, there is a floor.
         """
-        sizes: dict[frozenset[fleet.Option], dict[int, float]] = {}
+        sizes: dict[frozenset[scaling.Option], dict[int, float]] = {}
 
-        def count(options: frozenset[fleet.Option], spec: JobSpec, tasks: float) -> None:
+        def count(options: frozenset[scaling.Option], spec: JobSpec, tasks: float) -> None:
             if not options or any(option.spot for option in options):
                 return  # what cheap machines may serve is served by the fleet that is there anyhow
             need = sizes.setdefault(options, {})
             for index in {option.type for option in options}:
                 kind = self._state.types[index]
-                per = fleet.slots(kind, spec.cpus, spec.gpus, spec.mem_gb)
+                per = scaling.slots(kind, spec.cpus, spec.gpus, spec.mem_gb)
                 need[index] = need.get(index, 0.0) + tasks / max(1, per)
 
         boot = min((kind.boot_s for kind in self._state.types if kind.zones), default=0.0)
@@ -267,7 +269,7 @@
                 count(self._options(lately), spec, spec.tasks)
         if self._state.standing_classes or known:
             ordinary = frozenset(
-                fleet.Option(index, self._state.zones.index(zone), False)
+                scaling.Option(index, self._state.zones.index(zone), False)
                 for index, kind in enumerate(self._state.types)
                 for zone in kind.zones
                 if self._state.zones.index(zone) not in self._state.closed_zones
@@ -280,9 +282,9 @@
                         self._state.policy.standing_floor * hurry / max(1.0, self._state.types[index].cpus)
                     )
                     need[index] = need.get(index, 0.0) + floor
-        return [fleet.Group(options, need) for options, need in sizes.items()]
+        return [scaling.Group(options, need) for options, need in sizes.items()]
 
-    def _kept_for_services(self, groups: list[fleet.Group], present: Present) -> set[int]:
+    def _kept_for_services(self, groups: list[scaling.Group], present: Present) -> set[int]:
         """The ordinary machines that the standing services and their reserve need: those with the most
         replicas first, so that none has to move for another to go back."""
         kept: set[int] = set()
@@ -303,15 +305,15 @@
         self,
         step: FleetStep,
         now: float,
-        needs: list[fleet.Need],
-        groups: list[fleet.Group],
+        needs: list[scaling.Need],
+        groups: list[scaling.Group],
         machines: Present,
     ) -> None:
         lag = self._state.settings.facts.cloud.list_lag_s if self._state.inherited else 0.0
         if self._state.listed_at < self._state.owner_since + lag:
             # What the owner before us rented a moment ago is in no list yet: renting now would rent it twice.
             return
-        spare: dict[fleet.Option, int] = dict(self._state.renting)
+        spare: dict[scaling.Option, int] = dict(self._state.renting)
         cpus = 0.0
         for option, machine in machines:
             cpus += machine.cpus
@@ -322,16 +324,16 @@
         work = sum(n.tasks * n.cpus * n.run_s for n in needs if not n.standing)
         busy = work / cpus if cpus else (1e9 if work else 0.0)
         refused = frozenset(o for o, until in self._state.refused.items() if until > now)
-        fleet_now: dict[fleet.Option, int] = dict(self._state.renting)
+        fleet_now: dict[scaling.Option, int] = dict(self._state.renting)
         for option, machine in machines:
             if machine.notice is None:
                 fleet_now[option] = fleet_now.get(option, 0) + 1
-        rentals = fleet.for_services(
+        rentals = scaling.for_services(
             groups, self._state.types, fleet_now, refused, any(need.standing for need in needs)
         )
         for rental in rentals:
             spare[rental.option] = spare.get(rental.option, 0) + rental.count
-        rentals += fleet.wanted(
+        rentals += scaling.wanted(
             needs,
             self._state.types,
             spare,
@@ -350,7 +352,7 @@
             )  # fmt: skip
             step.rentals.append(RentalOrder(kind, zone, option.spot, rental.count, rental.why))
 
-    def _paced(self, rentals: list[fleet.Rental], machines: Present) -> list[fleet.Rental]:
+    def _paced(self, rentals: list[scaling.Rental], machines: Present) -> list[scaling.Rental]:
         """Into a zone that returns and of which nothing answers yet only a few machines, to see."""
         answering = {
             option.zone for option, machine in machines if machine.index in self._state.verified_machines
@@ -396,17 +398,17 @@
         with self._state.lock:
             self._asked_for(self._option(order), -order.count)
 
-    def _option(self, order: RentalOrder) -> fleet.Option:
-        return fleet.Option(
+    def _option(self, order: RentalOrder) -> scaling.Option:
+        return scaling.Option(
             self._state.types_by.index(order.type), self._state.zones.index(order.zone), order.spot
         )
 
-    def _asked_for(self, option: fleet.Option, count: int) -> None:
+    def _asked_for(self, option: scaling.Option, count: int) -> None:
         self._state.renting[option] = max(0, self._state.renting.get(option, 0) + count)
         if not self._state.renting[option]:
             del self._state.renting[option]
 
-    def _deletions(self, step: FleetStep, now: float, needs: list[fleet.Need], listening: float) -> None:
+    def _deletions(self, step: FleetStep, now: float, needs: list[scaling.Need], listening: float) -> None:
         facts = self._state.settings.facts.workers
         # If nobody at all reports, or many machines fall silent together, the fault lies with this controller
         # or the network: wait longer. A wave of spot machines taken shows in the cloud's list.
@@ -509,7 +511,7 @@
             for p in machine.open.values()
         )
 
-    def _idle(self, machine: Machine, now: float, needs: list[fleet.Need], spare: float) -> bool:
+    def _idle(self, machine: Machine, now: float, needs: list[scaling.Need], spare: float) -> bool:
         if machine.type is None or machine.idle_since <= 0 or machine.index in self._state.standing:
             return False
         waiting = bool(needs) and (machine.spot or self._state.dear_serves)
@@ -520,7 +522,7 @@
         )
         if not machine.spot and not self._state.dear_serves:
             keep = min(keep, self._state.policy.dear_idle_s)
-        return fleet.should_return(
+        return scaling.should_return(
             now - machine.idle_since, now - machine.rented, not machine.spot, waiting, keep
         )
 
--- a/bayford/coordination/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -5,11 +5,11 @@
 
 import logging
 
-from bayford.coordination.batch import Relocation
-from bayford.coordination.mover import Mover
-from bayford.coordination.owner_state import Key, OwnerState
+from bayford.coordination.leader.commit_batch import Relocation
+from bayford.coordination.leader.leader_state import Key, OwnerState
+from bayford.coordination.leader.migrator import Mover
 from bayford.protocol import workers
-from bayford.scheduling import placement, tempered
+from bayford.scheduling import placement_rules, tempered
 from bayford.scheduling.model import EPS, GANG, SERVICE, Job, Machine
 
 log = logging.getLogger("bayford.engine")
@@ -74,8 +74,8 @@
     ) -> tempered.Plan | None:
         state = self._state
         spec = job.spec
-        counts = placement.zones_open(job, state.zone_of)
-        allowed = placement.candidates(job, usable, counts, now)
+        counts = placement_rules.zones_open(job, state.zone_of)
+        allowed = placement_rules.candidates(job, usable, counts, now)
         if any(m.has_room(spec) for m in allowed):
             return None  # it fits as it is and is about to be placed
         state.balance_tried += 1
@@ -126,7 +126,7 @@
         job_id, task = workers.split_task(key[0]) or ("", 0)
         job, machine = state.jobs[job_id], state.machines[target]
         here = state.zone_of(job.open[task].machine)
-        counts = placement.zones_open(job, state.zone_of)
+        counts = placement_rules.zones_open(job, state.zone_of)
         if here is not None:
             counts[here] -= 1
             if not counts[here]:
@@ -138,8 +138,8 @@
             and machine.zone not in state.closed_zones | state.returning_zones
             and self._mover.allows(job, task)
             and machine.index not in job.failed_on
-            and placement.type_allowed(job, machine)
-            and placement.zone_allowed(job, machine.zone, counts)
+            and placement_rules.type_allowed(job, machine)
+            and placement_rules.zone_allowed(job, machine.zone, counts)
         )
 
     def _may_move_replica(self, job: Job, machine: Machine) -> bool:
--- a/bayford/coordination/cloud_calls.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from bayford.coordination.autoscaler import FleetStep, RentalOrder
-from bayford.coordination.budget import Budget
-from bayford.coordination.engine import Engine
+from bayford.coordination.leader.autoscaler import FleetStep, RentalOrder
+from bayford.coordination.leader.scheduler import Engine
+from bayford.coordination.token_bucket import Budget
 from bayford.protocol.cloud_api import Cloud, CloudBusyError, Listed, NoCapacityError
 
 log = logging.getLogger("bayford.cloud")
--- a/bayford/coordination/batch.py
+++ b/bayford/coordination/leader/commit_batch.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from bayford.scheduling.model import Placement
-from bayford.storage.store import Put
+from bayford.storage.key_value_store import Put
 
 
 @dataclass(frozen=True, slots=True)
--- a/bayford/coordination/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -2,12 +2,12 @@
 
 import logging
 
-from bayford.coordination.batch import Batch
-from bayford.coordination.owner_state import OwnerState
+from bayford.coordination.leader.commit_batch import Batch
+from bayford.coordination.leader.leader_state import OwnerState
 from bayford.scheduling.model import URGENT, Job
 from bayford.storage import records
-from bayford.storage.ledger import Ledger, RowMaker
-from bayford.storage.store import Put
+from bayford.storage.key_value_store import Put
+from bayford.storage.task_log import Ledger, RowMaker
 
 log = logging.getLogger("bayford.engine")
 
--- a/bayford/coordination/worker_reports.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -3,8 +3,8 @@
 import logging
 
 from bayford.clock import NEVER
-from bayford.coordination.handover import WorkerContact
-from bayford.coordination.owner_state import Key, OwnerState
+from bayford.coordination.leader.leader_state import Key, OwnerState
+from bayford.coordination.leadership.transfer import WorkerContact
 from bayford.protocol import workers
 from bayford.scheduling.model import EPS, GANG, SERVICE, Job, Machine, Placement
 
--- a/bayford/coordination/owner_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -13,11 +13,12 @@
 
 from bayford.clock import NEVER
 from bayford.config import Settings
-from bayford.coordination import estimate
-from bayford.coordination.batch import Batch, Relocation
-from bayford.coordination.limits import Limits
+from bayford.coordination.leader import run_time_estimator
+from bayford.coordination.leader.commit_batch import Batch, Relocation
+from bayford.coordination.store_limits import Limits
 from bayford.protocol import workers
-from bayford.scheduling import fleet
+from bayford.scheduling import scaling
+from bayford.scheduling.capacity_index import RoomIndex
 from bayford.scheduling.model import (
     SERVICE,
     SERVICE_RUN_S,
@@ -31,10 +32,9 @@
 )
 from bayford.scheduling.policy import Policy
 from bayford.scheduling.quota import Share
-from bayford.scheduling.room_index import RoomIndex
 from bayford.spread.restarts import RestartBudget, UnreadableCountsError
 from bayford.storage import records
-from bayford.storage.ledger import Ledger, Progress
+from bayford.storage.task_log import Ledger, Progress
 
 log = logging.getLogger("bayford.engine")
 
@@ -71,7 +71,7 @@
         self.classes = Names()
         self.types: list[MachineType] = []
         self.limits = Limits(facts.state)
-        self.estimates = estimate.Estimates()
+        self.estimates = run_time_estimator.Estimates()
         # Called under the lock, so they must be short and take no lock of ours.
         self.on_ready: Callable[[int], None] = lambda machine: None
         self.on_halt: Callable[[int], None] = lambda machine: None
@@ -84,7 +84,7 @@
         self.on_moves_counted: Callable[[list[Relocation]], None] = lambda moves: None
         # Runs something short on the mirror's ledger.
         self.with_ledger: Callable[[Callable[[Ledger], Any]], Any] = lambda call: None
-        self.refused: dict[fleet.Option, float] = {}
+        self.refused: dict[scaling.Option, float] = {}
         # When the users want a class done: the aims of the settings, for jobs without a deadline.
         self.targets = {
             o.job_class: o.within_s
@@ -131,7 +131,7 @@
         self.inherited = False  # machines or work of an owner before us
         self.listed_at = NEVER  # when the cloud's last list was asked for
         self.late_picture: dict[str, list[str]] = {}
-        self.renting: dict[fleet.Option, int] = {}
+        self.renting: dict[scaling.Option, int] = {}
         self.urgent_jobs: list[tuple[float, float]] = []  # when accepted, CPUs
         self.standing_jobs: list[tuple[float, JobSpec]] = []  # services accepted lately, and when
         self.standing: set[int] = set()  # ordinary machines that are kept for services
--- a/bayford/coordination/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -7,14 +7,14 @@
 import logging
 from collections.abc import Callable
 
-from bayford.coordination.balancer import Balancer
-from bayford.coordination.batch import Relocation
-from bayford.coordination.mover import Mover
-from bayford.coordination.owner_state import Key, OwnerState
+from bayford.coordination.leader.balancer import Balancer
+from bayford.coordination.leader.commit_batch import Relocation
+from bayford.coordination.leader.leader_state import Key, OwnerState
+from bayford.coordination.leader.migrator import Mover
 from bayford.protocol import workers
 from bayford.scheduling import tempered
 from bayford.scheduling.model import ARRAY, Job, Machine, Placement
-from bayford.spread.picture import MachinePicture, picture
+from bayford.spread.machine_snapshot import MachinePicture, picture
 from bayford.spread.rebalance import Rebalancing, rebalance
 from bayford.spread.score import Choice, Chooser, Weights, describe
 
--- a/bayford/coordination/mover.py
+++ b/bayford/coordination/leader/migrator.py
@@ -7,8 +7,8 @@
 import logging
 from collections.abc import Sequence
 
-from bayford.coordination.batch import Relocation
-from bayford.coordination.owner_state import ROOM_KEPT_S, OwnerState
+from bayford.coordination.leader.commit_batch import Relocation
+from bayford.coordination.leader.leader_state import ROOM_KEPT_S, OwnerState
 from bayford.scheduling.model import Job, Placement
 
 log = logging.getLogger("bayford.engine")
--- a/bayford/coordination/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -10,8 +10,8 @@
 import math
 from dataclasses import dataclass, field
 
-from bayford.coordination.owner_state import ROOM_KEPT_S, OwnerState
-from bayford.scheduling import placement, preemption
+from bayford.coordination.leader.leader_state import ROOM_KEPT_S, OwnerState
+from bayford.scheduling import placement_rules, preemption
 from bayford.scheduling.model import EPS, URGENT, Job, Machine, Placement
 from bayford.scheduling.quota import Share
 
@@ -146,7 +146,7 @@
                     continue
                 machine = state.machines[place.machine]
                 loss = preemption.lost_work(other, place, now, state.expected(other))
-                there = placement.type_allowed(job, machine) and machine.usable
+                there = placement_rules.type_allowed(job, machine) and machine.usable
                 victims.append((not there, other.spec.priority, loss, place.key, place))
         stops = 0
         for *_, place in sorted(victims, key=lambda v: v[:4]):
@@ -188,11 +188,11 @@
         """The stops that would make room for one task, machine by machine, the cheapest first."""
         state = self._state
         now = search.now
-        counts = placement.zones_open(waiting, state.zone_of)
+        counts = placement_rules.zones_open(waiting, state.zone_of)
         quiet = state.quiet_s
         out: list[tuple[float, int, list[preemption.Victim]]] = []
-        for machine in self._window(placement.candidates(waiting, search.machines, counts, now)):
-            if waiting.standing and not placement.steady(machine, now, quiet):
+        for machine in self._window(placement_rules.candidates(waiting, search.machines, counts, now)):
+            if waiting.standing and not placement_rules.steady(machine, now, quiet):
                 continue
             found = [
                 preemption.Victim(place.job, place, self._loss(place, search))
--- a/bayford/coordination/engine.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -15,20 +15,20 @@
 from typing import Any
 
 from bayford.config import Settings
-from bayford.coordination import work_facts
-from bayford.coordination.admission_control import WorkFacts
-from bayford.coordination.autoscaler import Autoscaler
-from bayford.coordination.group_commit import GroupCommit
-from bayford.coordination.limits import Limits
-from bayford.coordination.owner_state import OwnerState
-from bayford.coordination.scheduling_round import SchedulingRound
-from bayford.coordination.worker_reports import WorkerReports
-from bayford.coordination.zone_watch import ZoneWatch
+from bayford.coordination.leader import workload
+from bayford.coordination.leader.admission_control import WorkFacts
+from bayford.coordination.leader.autoscaler import Autoscaler
+from bayford.coordination.leader.group_commit import GroupCommit
+from bayford.coordination.leader.heartbeat_handler import WorkerReports
+from bayford.coordination.leader.leader_state import OwnerState
+from bayford.coordination.leader.scheduling_round import SchedulingRound
+from bayford.coordination.leader.zone_monitor import ZoneWatch
+from bayford.coordination.store_limits import Limits
 from bayford.recovery.zone_health import OwnerFacts
 from bayford.scheduling.model import JobSpec, MachineType
 from bayford.scheduling.policy import Policy
-from bayford.storage.ledger import Ledger
-from bayford.storage.store import Put
+from bayford.storage.key_value_store import Put
+from bayford.storage.task_log import Ledger
 
 
 class Engine:
@@ -139,7 +139,7 @@
 
     def work_facts(self) -> WorkFacts:
         """What admission has to know of the accepted work."""
-        return work_facts.gather(self.state)
+        return workload.gather(self.state)
 
     def watch_zones(self, owner: OwnerFacts, controllers: Mapping[str, str]) -> list[Put]:
         """Take the state of the zones in; the records to write now. `controllers`: who of each zone is in
--- a/bayford/coordination/scheduling_round.py
+++ b/bayford/coordination/leader/scheduling_round.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from bayford.coordination.balancer import Balancer
-from bayford.coordination.load_spreader import LoadSpreader
-from bayford.coordination.mover import Mover
-from bayford.coordination.owner_state import OwnerState
-from bayford.coordination.preemptor import Preemptor
+from bayford.coordination.leader.balancer import Balancer
+from bayford.coordination.leader.leader_state import OwnerState
+from bayford.coordination.leader.load_spreader import LoadSpreader
+from bayford.coordination.leader.migrator import Mover
+from bayford.coordination.leader.preemptor import Preemptor
 from bayford.recovery import return_order
-from bayford.scheduling import placement
+from bayford.scheduling import placement_rules
 from bayford.scheduling.model import EPS, GANG, URGENT, Job, Machine
 from bayford.spread.score import Choice
 
@@ -230,7 +230,7 @@
             # stands is unknown, so the zone rules can't be checked.
             job.why_waiting = "zone of a running task unknown"
             return
-        counts = placement.zones_open(job, self._state.zone_of) if zoned else {}
+        counts = placement_rules.zones_open(job, self._state.zone_of) if zoned else {}
         # The cheap machines alone are in time: let the dear ones run empty and go back.
         cheap_only = (
             not self._state.dear_serves and job.spec.priority < URGENT and job.spec.spot and job.cheap_hosts
@@ -238,7 +238,7 @@
 
         def open_to_job(machine: Machine) -> bool:
             return (
-                placement.eligible(job, machine, counts, now)
+                placement_rules.eligible(job, machine, counts, now)
                 and (not cheap_only or machine.spot or machine.index in self._state.standing)
                 and self._zone_open(job, machine, returning)
             )
@@ -283,7 +283,7 @@
         starved = self._is_starved(job, now)
         placed = 0
         while placed < wanted:
-            machine = self._hinted(job, may_take) or placement.first(job, machines)
+            machine = self._hinted(job, may_take) or placement_rules.first(job, machines)
             if machine is None:
                 job.why_waiting = NO_ROOM
                 break
@@ -321,15 +321,15 @@
 
     def _place_zoned(self, job: Job, count: int, machines: list[Machine], now: float) -> None:
         """Tasks of an array that is bound together or apart: each placement changes which zones are open."""
-        machines = placement.ranked(job, machines)
+        machines = placement_rules.ranked(job, machines)
         share = self._state.shares[job.team]
         starved = self._is_starved(job, now)
         while job.waiting and count > 0 and share.allows(job.spec):
-            counts = placement.zones_open(job, self._state.zone_of)
-            machines = placement.candidates(job, machines, counts, now)
+            counts = placement_rules.zones_open(job, self._state.zone_of)
+            machines = placement_rules.candidates(job, machines, counts, now)
             hint = job.hints.pop(job.waiting[-1], None)
             hinted = [m for m in machines if m.index == hint and m.has_room(job.spec)]
-            machine = hinted[0] if hinted else placement.first(job, machines)
+            machine = hinted[0] if hinted else placement_rules.first(job, machines)
             if machine is None:
                 job.why_waiting = NO_ROOM
                 break
@@ -339,14 +339,16 @@
     def _place_service(self, job: Job, count: int, machines: list[Machine], now: float) -> None:
         """Replicas one by one, since each changes which machine is best for the next."""
         quiet = self._state.quiet_s
-        machines = [m for m in machines if placement.steady(m, now, quiet)]
+        machines = [m for m in machines if placement_rules.steady(m, now, quiet)]
         share = self._state.shares[job.team]
         while job.waiting and count > 0 and share.allows(job.spec):
-            zones = placement.zones_open(job, self._state.zone_of)
+            zones = placement_rules.zones_open(job, self._state.zone_of)
             fit = [
                 m
                 for m in machines
-                if m.has_room(job.spec) and m.zone is not None and placement.zone_allowed(job, m.zone, zones)
+                if m.has_room(job.spec)
+                and m.zone is not None
+                and placement_rules.zone_allowed(job, m.zone, zones)
             ]
             if not fit:
                 job.why_waiting = NO_ROOM
@@ -356,7 +358,7 @@
                 fit,
                 key=lambda m: (
                     m.index != hint,
-                    *placement.replica_rank(
+                    *placement_rules.replica_rank(
                         job, m, zones, self._state.fetch_s(job, m), self._state.policy.spread_s
                     ),
                 ),
@@ -387,7 +389,7 @@
 
     def _place_gang(self, job: Job, machines: list[Machine], now: float) -> None:
         """All waiting tasks of a gang at once, in one transaction, or none."""
-        picks = placement.choose_gang(job, machines, len(job.waiting))
+        picks = placement_rules.choose_gang(job, machines, len(job.waiting))
         if picks is None:
             job.why_waiting = "no room for the whole gang"
             return
--- a/bayford/coordination/work_facts.py
+++ b/bayford/coordination/leader/workload.py
@@ -1,7 +1,7 @@
 """What the owner's state says of accepted work, for admission: who is beyond a guarantee, and the backlog."""
 
-from bayford.coordination.admission_control import WorkFacts
-from bayford.coordination.owner_state import OwnerState
+from bayford.coordination.leader.admission_control import WorkFacts
+from bayford.coordination.leader.leader_state import OwnerState
 from bayford.scheduling.model import EPS, Job
 
 BOOTING_SHARE = 10  # one machine in so many may still boot when the fleet counts as all there is
--- a/bayford/coordination/zone_watch.py
+++ b/bayford/coordination/leader/zone_monitor.py
@@ -7,9 +7,9 @@
 from collections.abc import Mapping
 from types import MappingProxyType
 
-from bayford.coordination.owner_state import OwnerState
-from bayford.recovery import record
-from bayford.recovery.fates import Fates, TaskKey
+from bayford.coordination.leader.leader_state import OwnerState
+from bayford.recovery import zone_record
+from bayford.recovery.task_outcomes import Fates, TaskKey
 from bayford.recovery.zone_health import (
     HealthTimes,
     OwnerFacts,
@@ -20,7 +20,7 @@
     blindness,
 )
 from bayford.scheduling.model import Placement
-from bayford.storage.store import Put
+from bayford.storage.key_value_store import Put
 
 log = logging.getLogger("bayford.recovery")
 
@@ -61,9 +61,9 @@
         for name, value in state.zone_records.items():
             zone = state.zones.find(name)
             try:
-                found = record.decode(value)
+                found = zone_record.decode(value)
                 status = self._status_of(found)
-            except (record.UnreadableRecordError, ValueError) as bad:
+            except (zone_record.UnreadableRecordError, ValueError) as bad:
                 log.error("zone %s: %s; taken for absent", name, bad)
                 continue
             if zone is not None:
@@ -72,7 +72,7 @@
                 self._note_missed(zone)
         self._publish()
 
-    def _status_of(self, found: record.ZoneRecord) -> ZoneStatus:
+    def _status_of(self, found: zone_record.ZoneRecord) -> ZoneStatus:
         state = self._state
         offset = state.clock() - state.wall()  # from the time of day to this clock
         last = found.losses[-1] if found.losses else None
@@ -236,14 +236,16 @@
         if not self._unwritten or now - self._written_at < WRITE_PERIOD_S:
             return []
         self._written_at = now
-        out = [Put(record.key(state.zones[zone]), self._encoded(zone)) for zone in sorted(self._unwritten)]
+        out = [
+            Put(zone_record.key(state.zones[zone]), self._encoded(zone)) for zone in sorted(self._unwritten)
+        ]
         self._unwritten.clear()
         return out
 
     def not_written(self, puts: list[Put]) -> None:
         """These were refused, or nobody knows: again."""
         for put in puts:
-            zone = self._state.zones.find(put.key[len(record.key("")) :])
+            zone = self._state.zones.find(put.key[len(zone_record.key("")) :])
             if zone is not None:
                 self._unwritten.add(zone)
 
@@ -251,10 +253,10 @@
         state = self._state
         status = self.statuses[zone]
         losses = self.losses.setdefault(zone, [])
-        del losses[: -record.MOST_LOSSES]
+        del losses[: -zone_record.MOST_LOSSES]
         offset = state.wall() - state.clock()
-        found = record.ZoneRecord(
+        found = zone_record.ZoneRecord(
             state.zones[zone], status.state.value, status.since + offset, status.flaps,
             [fates.record() for fates in losses],
         )  # fmt: skip
-        return record.encode(found, state.limits.value_bytes)
+        return zone_record.encode(found, state.limits.value_bytes)
--- a/bayford/coordination/membership.py
+++ b/bayford/coordination/leadership/membership.py
@@ -15,10 +15,17 @@
 
 from bayford.admission import features
 from bayford.clock import NEVER
-from bayford.coordination.limits import Limits
+from bayford.coordination.store_limits import Limits
 from bayford.storage import records
-from bayford.storage.mirror import Mirror
-from bayford.storage.store import LeaseGoneError, OutcomeUnknownError, Put, Row, Store, UnavailableError
+from bayford.storage.key_value_store import (
+    LeaseGoneError,
+    OutcomeUnknownError,
+    Put,
+    Row,
+    Store,
+    UnavailableError,
+)
+from bayford.storage.watch_cache import Mirror
 
 log = logging.getLogger("bayford.membership")
 
--- a/bayford/coordination/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Iterable
 
 from bayford.clock import NEVER
-from bayford.coordination.limits import Limits
+from bayford.coordination.store_limits import Limits
 from bayford.protocol import mesh, workers
 from bayford.storage import records
-from bayford.storage.mirror import Mirror
-from bayford.storage.store import Put, Row
+from bayford.storage.key_value_store import Put, Row
+from bayford.storage.watch_cache import Mirror
 
 log = logging.getLogger("bayford.relay")
 
--- a/bayford/protocol/state_api.py
+++ b/bayford/protocol/key_value_api.py
@@ -7,7 +7,7 @@
 import msgspec
 import orjson
 
-from bayford.storage.store import (
+from bayford.storage.key_value_store import (
     CompactedError,
     LeaseGoneError,
     Outcome,
--- a/bayford/recovery/report.py
+++ b/bayford/recovery/report.py
@@ -7,7 +7,7 @@
 import msgspec
 import orjson
 
-from bayford.recovery.record import Loss, ZoneRecord
+from bayford.recovery.zone_record import Loss, ZoneRecord
 
 TEMPLATE = """\
 {%- for zone in zones %}
--- a/bayford/recovery/fates.py
+++ b/bayford/recovery/task_outcomes.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from bayford.recovery.record import Elsewhere, Loss
-from bayford.storage.ledger import ranges, unrange
+from bayford.recovery.zone_record import Elsewhere, Loss
+from bayford.storage.task_log import ranges, unrange
 
 TaskKey = tuple[str, int]  # job, number of the task
 
--- a/bayford/recovery/record.py
+++ b/bayford/recovery/zone_record.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from bayford.storage import records
-from bayford.storage.ledger import unrange
+from bayford.storage.task_log import unrange
 
 VERSION = 1
 MOST_LOSSES = 8
--- a/bayford/scheduling/room_index.py
+++ b/bayford/scheduling/capacity_index.py
@@ -1,6 +1,6 @@
 """Machines with room, indexed, so that finding the best ones for a job does not mean looking at the fleet.
 
-The order is that of `placement.score`: machines that hold the image, then those that fetch it, then the rest;
+The order is that of `placement_rules.score`: machines that hold the image, then those that fetch it, then the rest;
 in each, spot before ordinary ones, the fullest first, the lowest number first. Machines alike in type, zone,
 kind and free CPUs lie in one bucket, in the order of their numbers; a search goes through the buckets in the
 order of the score and stops when it has enough. Pure: no clock, no I/O.
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from bayford.scheduling import placement
+from bayford.scheduling import placement_rules
 from bayford.scheduling.model import EPS, Job, Machine
 
 
@@ -142,7 +142,7 @@
                 for machine in map(self.machines.get, holders)
                 if machine is not None and machine.has_room(job.spec) and may_take(machine)
             )
-            return heapq.nsmallest(count, fitting, key=lambda machine: placement.score(job, machine))
+            return heapq.nsmallest(count, fitting, key=lambda machine: placement_rules.score(job, machine))
         # So many hold it that a walk in the order of the score meets enough of them soon.
         there: list[Machine] = []
         coming: list[Machine] = []
--- a/bayford/storage/counted.py
+++ b/bayford/storage/counting_store.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from bayford.storage.store import Outcome, Put, Row, Store, UnavailableError
+from bayford.storage.key_value_store import Outcome, Put, Row, Store, UnavailableError
 
 T = TypeVar("T")
 
--- a/bayford/storage/summary.py
+++ b/bayford/storage/load_summary.py
@@ -10,8 +10,8 @@
 
 import orjson
 
+from bayford.storage.key_value_store import Put, Row
 from bayford.storage.records import SUMMARIES
-from bayford.storage.store import Put, Row
 
 Picture = list[tuple[str, float, list[str]]]
 
--- a/bayford/storage/mirror.py
+++ b/bayford/storage/watch_cache.py
@@ -13,9 +13,9 @@
 
 from bayford.clock import NEVER
 from bayford.storage import records
-from bayford.storage.ledger import Ledger, Progress
+from bayford.storage.key_value_store import CompactedError, OutcomeUnknownError, Row, Store, UnavailableError
 from bayford.storage.records import JOBS, LAYOUT, LOG, UnreadableError
-from bayford.storage.store import CompactedError, OutcomeUnknownError, Row, Store, UnavailableError
+from bayford.storage.task_log import Ledger, Progress
 
 log = logging.getLogger("bayford.mirror")
 
--- a/bayford/transport/client.py
+++ b/bayford/transport/http_client.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from bayford.storage.store import OutcomeUnknownError, UnavailableError
+from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
 
 IDLE_S = 20.0
 
--- a/bayford/transport/front.py
+++ b/bayford/transport/http_handlers.py
@@ -2,12 +2,12 @@
 
 import msgspec
 
+from bayford.coordination.api.responses import RETRY_AFTER_S, Reply
 from bayford.coordination.controller import Controller
-from bayford.coordination.responses import RETRY_AFTER_S, Reply
 from bayford.protocol import jobs, mesh, workers
 from bayford.scheduling.model import URGENT
-from bayford.transport.limit import Limit
-from bayford.transport.server import Request, Response
+from bayford.transport.concurrency_limit import Limit
+from bayford.transport.http_server import Request, Response
 
 NOT_URGENT_SHARE = 0.75  # of the requests in progress, with admission on
 
--- a/standins/admission_history.py
+++ b/standins/admission_history.py
@@ -8,7 +8,7 @@
 from bayford.admission.choice import decide
 from bayford.admission.level import Flow, Level, UnreadableLevelError, decode
 from bayford.storage import records
-from bayford.storage.store import Row
+from bayford.storage.key_value_store import Row
 
 
 @dataclass(frozen=True)
--- a/standins/state_service.py
+++ b/standins/state_service.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bayford.storage.store import Row
+from bayford.storage.key_value_store import Row
 from standins.http_service import Answer, Call, HttpService, ServiceControls
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -30,14 +30,14 @@
 )
 from bayford.admission.load import AcceptanceCapacity, Rates
 from bayford.config import split_address
-from bayford.coordination.acceptance_pace import AcceptancePace
-from bayford.coordination.admission_control import sample_of, told_of
+from bayford.coordination.api.acceptance_rate import AcceptancePace
+from bayford.coordination.leader.admission_control import sample_of, told_of
 from bayford.protocol.jobs import priority_of
-from bayford.protocol.state_api import StateApi
+from bayford.protocol.key_value_api import StateApi
 from bayford.storage import records
-from bayford.storage.store import Put, Row
-from bayford.transport.client import Client
-from bayford.transport.limit import Limit
+from bayford.storage.key_value_store import Put, Row
+from bayford.transport.concurrency_limit import Limit
+from bayford.transport.http_client import Client
 from standins.state_service import StateService
 from tests.test_config import GOOD
 
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -12,11 +12,11 @@
 
 from bayford.admission.choice import decide
 from bayford.admission.level import POSITIONS, Flow, Level, Window, encode
-from bayford.coordination.admission_control import LedgerFacts, WorkFacts
+from bayford.coordination.leader.admission_control import LedgerFacts, WorkFacts
 from bayford.protocol import jobs
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
-from bayford.storage.store import Put, Row
+from bayford.storage.key_value_store import Put, Row
 from standins.admission_history import (
     Told,
     accepted_under,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -6,9 +6,9 @@
 from world import Worker, World
 
 from bayford.clock import NEVER
-from bayford.coordination.handover import WorkerContact, successor
+from bayford.coordination.leadership.transfer import WorkerContact, successor
 from bayford.storage import records
-from bayford.storage.store import Put
+from bayford.storage.key_value_store import Put
 
 LEASE_S = 12.0  # `lease_s` of the simulated settings
 OTHERS = {"n1", "n2"}
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,8 +5,8 @@
 import orjson
 import pytest
 
-from bayford.storage.ledger import KEEP_ROWS, Ledger, RowMaker
 from bayford.storage.records import UnreadableError
+from bayford.storage.task_log import KEEP_ROWS, Ledger, RowMaker
 
 
 class Writer:
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bayford.recovery.record import decode, key
+from bayford.recovery.zone_record import decode, key
 from standins.history import not_done_once, out_of_order, ran_twice, without_one_answer
 from standins.site import KIND, Site, await_state, job
 from standins.workers import Event
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,8 +14,8 @@
 from bayford.coordination.controller import Controller
 from bayford.protocol import mesh, workers
 from bayford.scheduling.policy import Policy
-from bayford.transport.front import Mesh
-from bayford.transport.server import Request
+from bayford.transport.http_handlers import Mesh
+from bayford.transport.http_server import Request
 
 
 def owned(w: World) -> tuple[str, Controller, str]:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,14 +12,14 @@
 
 from bayford import cli, config, script
 from bayford.clock import NEVER
-from bayford.coordination.membership import lonely
+from bayford.coordination.leadership.membership import lonely
 from bayford.protocol import jobs, mesh, workers
-from bayford.scheduling import fleet
+from bayford.scheduling import scaling
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
-from bayford.transport.front import Front
-from bayford.transport.limit import Limit
-from bayford.transport.server import Request, Response, Server
+from bayford.transport.concurrency_limit import Limit
+from bayford.transport.http_handlers import Front
+from bayford.transport.http_server import Request, Response, Server
 
 GOOD = json.loads(World(1).job(1))
 TEXT = SETTINGS.format(name="n9", zone="north", writes=15.0, value_kb=8.0, cancel_s=42.0, coming="")
@@ -148,12 +148,12 @@
 
 def test_fleet_prefers_spot_remembers_refusals_and_takes_dear_machines_only_in_need():
     types = World(1).catalog()
-    spot, dear = fleet.Option(0, 0, True), fleet.Option(0, 0, False)
-    need = fleet.Need(frozenset({spot, dear}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
+    spot, dear = scaling.Option(0, 0, True), scaling.Option(0, 0, False)
+    need = scaling.Need(frozenset({spot, dear}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
 
     def ask(need, refused=(), spare=None, yields=0.0, busy=50.0):
         need = dataclasses.replace(need, yielded=yields)
-        got = fleet.wanted([need], types, spare or {}, frozenset(refused), busy, 1e9, 2.0)
+        got = scaling.wanted([need], types, spare or {}, frozenset(refused), busy, 1e9, 2.0)
         return [(r.option, r.count) for r in got]
 
     assert ask(need) == [(spot, 2)]
@@ -163,9 +163,9 @@
     alone = dataclasses.replace(need, cheap=0.0)
     assert ask(alone) == [(spot, 2)]
     assert ask(alone, refused=[spot]) == [(dear, 2)], "no cheap one is there nor to be had"
-    late = fleet.Need(need.options, 8, 1.0, 0.0, 1.0, 20.0, False, 3, 640.0, 640.0)
+    late = scaling.Need(need.options, 8, 1.0, 0.0, 1.0, 20.0, False, 3, 640.0, 640.0)
     assert ask(late, refused=[spot]) == [(dear, 1)], "only as many as are worth it"
-    urgent = fleet.Need(need.options, 8, 1.0, 0.0, 1.0, 20.0, True, 0, 640.0, 640.0)
+    urgent = scaling.Need(need.options, 8, 1.0, 0.0, 1.0, 20.0, True, 0, 640.0, 640.0)
     assert ask(urgent, refused=[spot]) == [(dear, 2)]
     assert ask(urgent, refused=[spot], yields=8.0) == [], "it may push out what yields"
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -11,8 +11,8 @@
 from world import World
 
 from bayford import cli
-from bayford.recovery import record, report, return_order
-from bayford.recovery.fates import Fates
+from bayford.recovery import report, return_order, zone_record
+from bayford.recovery.task_outcomes import Fates
 from bayford.recovery.zone_health import (
     HealthTimes,
     OwnerFacts,
@@ -22,7 +22,7 @@
     advance,
     blindness,
 )
-from bayford.scheduling import fleet
+from bayford.scheduling import scaling
 from bayford.scheduling.model import Machine
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
@@ -168,9 +168,9 @@
     assert sum(len(keys) for keys in found) == len(set().union(*found)) == len(tasks)
     assert Fates.of(fates.record()) == fates
     losses = [fates.record()] * 12
-    value = record.encode(record.ZoneRecord("north", "lost", 1.0, 0, losses), most)
+    value = zone_record.encode(zone_record.ZoneRecord("north", "lost", 1.0, 0, losses), most)
     assert records.size(value) <= most
-    last = record.decode(json.loads(json.dumps(value))).losses[-1]
+    last = zone_record.decode(json.loads(json.dumps(value))).losses[-1]
     assert sum(last.totals().values()) == len(tasks), "told or counted, none is left out"
 
 
@@ -178,8 +178,8 @@
     "stored", [None, [], {"zone": "north"}, {"zone": "n", "state": "up", "since": 1.0, "v": 9}]
 )
 def test_a_record_that_cannot_be_read_is_an_error_and_absent(stored, caplog):
-    with pytest.raises(record.UnreadableRecordError):
-        record.decode(stored)
+    with pytest.raises(zone_record.UnreadableRecordError):
+        zone_record.decode(stored)
     cluster = two_zones()
     cluster.state._change([records_put("north", stored or 0)])
     cluster.boot(cluster.owner())
@@ -191,17 +191,20 @@
 
 
 def records_put(zone, value):
-    from bayford.storage.store import Put
+    from bayford.storage.key_value_store import Put
 
-    return Put(record.key(zone), value)
+    return Put(zone_record.key(zone), value)
 
 
 def test_what_operators_read():
-    loss = record.Loss(
+    loss = zone_record.Loss(
         10.0, 24.0, 0.0, {"req-000001": [0, 2]}, {"req-000002": [1, 1]},
-        {"req-000003": [record.Elsewhere(4, "vm-000009")]}, {"req-000004": [0, 0, 3, 4]},
+        {"req-000003": [zone_record.Elsewhere(4, "vm-000009")]}, {"req-000004": [0, 0, 3, 4]},
     )  # fmt: skip
-    zones = [record.ZoneRecord("south", "lost", 24.0, 1, [loss]), record.ZoneRecord("north", "up", 0.0)]
+    zones = [
+        zone_record.ZoneRecord("south", "lost", 24.0, 1, [loss]),
+        zone_record.ZoneRecord("north", "up", 0.0),
+    ]
     text = report.as_text(zones)
     for part in (
         "zone south: lost since 1970-01-01 00:00:24 UTC, 1 flaps", "not back",
@@ -271,8 +274,8 @@
     return owner.zone_watch.statuses[owner.state.zones.find(zone)].state.value
 
 
-def stored(cluster: World, zone: str = "south") -> record.ZoneRecord:
-    return record.decode(cluster.state.rows[record.key(zone)][0])
+def stored(cluster: World, zone: str = "south") -> zone_record.ZoneRecord:
+    return zone_record.decode(cluster.state.rows[zone_record.key(zone)][0])
 
 
 def in_zone(cluster: World, zone: str = "south") -> list[str]:
@@ -342,9 +345,9 @@
     engine = cluster.nodes[cluster.owner()].engine
     engine.state.returning_zones = frozenset({engine.state.zones.find("south")})
     gone = [m for m in engine.state.machines.values() if m.zone not in engine.state.returning_zones]
-    present = [(fleet.Option(m.type, m.zone, m.spot), m) for m in gone]
-    south, north = (fleet.Option(0, engine.state.zones.find(name), True) for name in ("south", "north"))
-    wanted = [fleet.Rental(south, 20, "backlog"), fleet.Rental(north, 20, "backlog")]
+    present = [(scaling.Option(m.type, m.zone, m.spot), m) for m in gone]
+    south, north = (scaling.Option(0, engine.state.zones.find(name), True) for name in ("south", "north"))
+    wanted = [scaling.Rental(south, 20, "backlog"), scaling.Rental(north, 20, "backlog")]
     assert [r.count for r in engine.autoscaler._paced(wanted, present)] == [RECOVER.recovery_least, 20]
     engine.state.renting[south] = 2
     assert [r.count for r in engine.autoscaler._paced(wanted, present)] == [1, 20]
@@ -460,7 +463,7 @@
     wait(cluster, 22.0)
     owner = cluster.owner()
     engine = cluster.nodes[owner].engine
-    record_then = cluster.state.rows[record.key("south")]
+    record_then = cluster.state.rows[zone_record.key("south")]
     heal(cluster)
     wait(cluster, 24.0)  # it all runs again; two tasks end, and one job is over
     for part in in_zone(cluster):
@@ -468,7 +471,7 @@
             cluster.finish(part)
     wait(cluster, 4.0)
     assert cluster.query("n0", "req-000002") == "done" and engine.owner
-    cluster.state.rows[record.key("south")] = record_then  # the last record that was written before
+    cluster.state.rows[zone_record.key("south")] = record_then  # the last record that was written before
     cluster.boot(owner)
     wait(cluster, 8.0)
     totals = stored(cluster).losses[-1].totals()
--- a/tests/test_room_index.py
+++ b/tests/test_room_index.py
@@ -3,9 +3,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bayford.scheduling import placement
+from bayford.scheduling import placement_rules
+from bayford.scheduling.capacity_index import RoomIndex
 from bayford.scheduling.model import Job, JobSpec, Machine
-from bayford.scheduling.room_index import RoomIndex
 
 CPUS = 8.0
 IMAGES = 4
@@ -54,13 +54,13 @@
 
 
 def full_search(job: Job, fleet: list[Machine], with_image_only: bool) -> list[Machine]:
-    found = placement.ranked(job, placement.candidates(job, fleet, {}, 0.0))
+    found = placement_rules.ranked(job, placement_rules.candidates(job, fleet, {}, 0.0))
     return [m for m in found if job.image in m.images] if with_image_only else found
 
 
 def assert_same(room: RoomIndex, fleet: list[Machine], job: Job, count: int, with_image_only: bool) -> None:
     def may_take(machine: Machine) -> bool:
-        return placement.eligible(job, machine, {}, 0.0)
+        return placement_rules.eligible(job, machine, {}, 0.0)
 
     expected = [m.index for m in full_search(job, fleet, with_image_only)[:count]]
     assert [m.index for m in room.best(job, count, may_take, with_image_only)] == expected
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,19 +11,19 @@
 from world import Attempt, World
 
 from bayford.config import Settings
-from bayford.coordination.autoscaler import Deletion, FleetStep, RentalOrder
-from bayford.coordination.cloud_calls import LIST_SHARE, OWNER_SHARE, CloudCalls
-from bayford.coordination.engine import Engine
-from bayford.coordination.relay import reports_in
+from bayford.coordination.leader.autoscaler import Deletion, FleetStep, RentalOrder
+from bayford.coordination.leader.cloud_operations import LIST_SHARE, OWNER_SHARE, CloudCalls
+from bayford.coordination.leader.scheduler import Engine
+from bayford.coordination.workers.relay import reports_in
 from bayford.protocol import workers
 from bayford.protocol.cloud_api import LIST_PAGE, CloudBusyError, Listed, MachinePage
 from bayford.scheduling.model import MachineType
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
-from bayford.storage.store import Row
-from bayford.transport.front import Front
-from bayford.transport.limit import Limit
-from bayford.transport.server import Server
+from bayford.storage.key_value_store import Row
+from bayford.transport.concurrency_limit import Limit
+from bayford.transport.http_handlers import Front
+from bayford.transport.http_server import Server
 
 MACHINES = 4000
 CPUS = 4  # of each machine
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,7 +7,7 @@
 from world import World
 
 from bayford.protocol.cloud_api import Listed
-from bayford.scheduling import fleet, placement
+from bayford.scheduling import placement_rules, scaling
 from bayford.scheduling.model import Machine
 from bayford.storage import records
 
@@ -337,15 +337,15 @@
 def test_what_stands_is_held_by_so_many_machines_of_each_kind():
     w = quiet()
     types = w.nodes["n0"].engine.types
-    small, cards = fleet.Option(0, 0, False), fleet.Option(1, 0, False)
-    group = fleet.Group(frozenset({small, cards}), {0: 6.0, 1: 3.0})
-    none: frozenset[fleet.Option] = frozenset()
-    assert [(r.option, r.count) for r in fleet.for_services([group], types, {}, none)] == [(small, 6)]
-    got = fleet.for_services([group], types, {small: 3}, none)
+    small, cards = scaling.Option(0, 0, False), scaling.Option(1, 0, False)
+    group = scaling.Group(frozenset({small, cards}), {0: 6.0, 1: 3.0})
+    none: frozenset[scaling.Option] = frozenset()
+    assert [(r.option, r.count) for r in scaling.for_services([group], types, {}, none)] == [(small, 6)]
+    got = scaling.for_services([group], types, {small: 3}, none)
     assert [(r.option, r.count) for r in got] == [(small, 3)]
-    got = fleet.for_services([group], types, {small: 3}, frozenset({small}))
+    got = scaling.for_services([group], types, {small: 3}, frozenset({small}))
     assert [(r.option, r.count) for r in got] == [(cards, 2)], "another kind where the first is refused"
-    assert fleet.for_services([group], types, {small: 3, cards: 2}, none) == []
+    assert scaling.for_services([group], types, {small: 3, cards: 2}, none) == []
 
 
 def test_a_replica_goes_where_its_image_is_but_not_beside_another_of_its_job():
@@ -357,13 +357,15 @@
     has = Machine(0, "has", images={job.image: True}, free_cpus=4.0)
     busy = Machine(1, "busy", images={99: False}, free_cpus=4.0)
     free = Machine(2, "free", free_cpus=4.0)
-    order = sorted([free, busy, has], key=lambda m: placement.replica_rank(job, m, {}, 4.0, 6.0))
+    order = sorted([free, busy, has], key=lambda m: placement_rules.replica_rank(job, m, {}, 4.0, 6.0))
     assert [m.name for m in order] == ["has", "free", "busy"]
     has.heard = 100.0
-    assert placement.steady(has, 101.0, 5.0) and not placement.steady(has, 106.0, 5.0), "not if silent"
+    assert placement_rules.steady(has, 101.0, 5.0) and not placement_rules.steady(has, 106.0, 5.0), (
+        "not if silent"
+    )
     has.failed_at = 95.0
-    assert not placement.steady(has, 101.0, 5.0), "nor where something has just failed"
-    assert placement.steady(has, 101.0 + placement.DOUBT_S, 500.0), "but that is forgotten"
+    assert not placement_rules.steady(has, 101.0, 5.0), "nor where something has just failed"
+    assert placement_rules.steady(has, 101.0 + placement_rules.DOUBT_S, 500.0), "but that is forgotten"
 
 
 def test_the_balancer_moves_a_replica_for_no_lesser_work_and_only_to_its_image():
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -10,11 +10,11 @@
 from test_stories import quiet, running, wait
 from world import LIMITS, World
 
-from bayford.scheduling import placement, tempered
+from bayford.scheduling import placement_rules, tempered
 from bayford.scheduling.model import Machine, MachineType, Placement
 from bayford.scheduling.policy import Policy
 from bayford.scheduling.tempered import Counts, Host, Item
-from bayford.spread.picture import picture
+from bayford.spread.machine_snapshot import picture
 from bayford.spread.rebalance import Rebalancing, Relocation, rebalance
 from bayford.spread.restarts import RestartBudget, UnreadableCountsError
 from bayford.spread.score import Chooser, Weights, rendezvous
@@ -55,7 +55,7 @@
     room = indexed(fleet)
 
     def may_take(machine: Machine) -> bool:
-        return placement.eligible(job, machine, {}, 0.0)
+        return placement_rules.eligible(job, machine, {}, 0.0)
 
     candidates = room.least_loaded(job, count, may_take)
     chosen = choose(job, candidates, count, Weights()) if candidates else []
@@ -406,8 +406,8 @@
     engine.scheduling.spreader._carry_out(Rebalancing(moves, 1.0, 0.5), known, cluster.clock.now)
     assert list(engine.state.uncounted) == ["req-000001"]
     first, second = engine.state.jobs["req-000001"], engine.state.jobs["req-000002"]
-    assert placement.eligible(first, target, {}, cluster.clock.now)
-    assert not placement.eligible(second, target, {}, cluster.clock.now)
+    assert placement_rules.eligible(first, target, {}, cluster.clock.now)
+    assert not placement_rules.eligible(second, target, {}, cluster.clock.now)
 
 
 def test_no_team_limit_is_exceeded_where_load_is_spread():
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -5,13 +5,13 @@
 from world import World
 
 from bayford.clock import NEVER
-from bayford.coordination.autoscaler import RentalOrder
 from bayford.coordination.controller import Controller
-from bayford.coordination.owner_state import OwnerState
+from bayford.coordination.leader.autoscaler import RentalOrder
+from bayford.coordination.leader.leader_state import OwnerState
 from bayford.protocol.cloud_api import NoCapacityError
 from bayford.storage import records
-from bayford.storage.counted import CountedStore
-from bayford.storage.store import UnavailableError
+from bayford.storage.counting_store import CountedStore
+from bayford.storage.key_value_store import UnavailableError
 
 
 def quiet(machines: int = 2, nodes: int = 1, **world_fields) -> World:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,24 +9,24 @@
 from test_stories import quiet, running
 from world import World
 
-from bayford.coordination.limits import Limits
-from bayford.coordination.relay import reports_in
+from bayford.coordination.store_limits import Limits
+from bayford.coordination.workers.relay import reports_in
 from bayford.protocol import mesh, workers
-from bayford.storage import ledger, records, summary
-from bayford.storage.store import Row, TooLargeError
+from bayford.storage import load_summary, records, task_log
+from bayford.storage.key_value_store import Row, TooLargeError
 
 # Each form as the version in production writes it, made once by that version.
 GOLDEN = json.loads((Path(__file__).parent / "fixtures" / "production.json").read_text())
 COMING = "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0"
 
 
-def golden_ledger() -> ledger.Ledger:
-    found = ledger.Ledger(GOLDEN["layout_bytes"])
+def golden_ledger() -> task_log.Ledger:
+    found = task_log.Ledger(GOLDEN["layout_bytes"])
     found.rebuild([tuple(row) for row in GOLDEN["rows"]])
     return found
 
 
-def told(found: ledger.Ledger) -> dict:
+def told(found: task_log.Ledger) -> dict:
     return {
         job: {"open": {str(t): list(p) for t, p in sorted(g.open.items())}, "done": sorted(g.done)}
         for job, g in sorted(found.jobs.items())
@@ -60,7 +60,7 @@
     rows = [tuple(row) for row in GOLDEN["rows"]]
     stamp = 1000
     for _ in range(120):
-        maker = ledger.RowMaker(found, found.next, found.dead_before(), found.next_attempt, 2048)
+        maker = task_log.RowMaker(found, found.next, found.dead_before(), found.next_attempt, 2048)
         maker.snapshots()
         slot, _ = found.slots(1)[0]
         value = orjson.loads(orjson.dumps(maker.finish()))
@@ -70,7 +70,7 @@
         found.take(slot, stamp, value)
         rows = [row for row in rows if row[0] != slot] + [(slot, stamp, value)]
     assert told(found) == GOLDEN["state"]
-    fresh = ledger.Ledger(GOLDEN["layout_bytes"])
+    fresh = task_log.Ledger(GOLDEN["layout_bytes"])
     fresh.rebuild(rows)
     assert told(fresh) == GOLDEN["state"]
     assert max(len(orjson.dumps(value)) for _, _, value in rows if value["n"] >= fresh.tail) <= 2048
@@ -81,9 +81,9 @@
     assert name == "n2" and [msgspec.to_builtins(r) for r in reports] == [GOLDEN["report"]]
     assert mesh.pack_reports(reports, 2000) == [GOLDEN["relay"]["reports"]]
     rows = [Row(key, value, 5) for key, value in GOLDEN["summary"]]
-    assert summary.newest(rows, 0.0) == {"vm-000231": ["img-07", "img-1"], "vm-000232": ["img-1"]}
+    assert load_summary.newest(rows, 0.0) == {"vm-000231": ["img-07", "img-1"], "vm-000232": ["img-1"]}
     picture = [("vm-000231", 0.5, ["img-07", "img-1"]), ("vm-000232", 0.0, ["img-1"])]
-    assert [[p.key, p.value] for p in summary.encode("n2", 1700000003.0, picture, 2048, 0)] == GOLDEN[
+    assert [[p.key, p.value] for p in load_summary.encode("n2", 1700000003.0, picture, 2048, 0)] == GOLDEN[
         "summary"
     ]
     status = mesh.decode_status(orjson.dumps(GOLDEN["status"]))
@@ -198,7 +198,7 @@
     w = quiet()
     node = w.nodes["n0"]
     w.state.txn_ops, w.state.value_bytes = 2, 300
-    node._put_all([summary.Put(f"b/relay/n0/{n}", {"at": 1.0, "reports": "x" * size}) for n, size in
+    node._put_all([load_summary.Put(f"b/relay/n0/{n}", {"at": 1.0, "reports": "x" * size}) for n, size in
                    enumerate([10, 20, 900, 30])])  # fmt: skip
     assert [k for k in w.state.rows if k.startswith("b/relay")] == [
         "b/relay/n0/0",
@@ -252,7 +252,7 @@
 def test_a_layout_that_can_not_be_read_is_no_reason_to_guess():
     w = quiet(nodes=2)
     w.submit("n0", w.job(1))
-    w.state._change([summary.Put(records.LAYOUT, "oops")])
+    w.state._change([load_summary.Put(records.LAYOUT, "oops")])
     for name in w.nodes:
         w.boot(name)
     for _ in range(10):
@@ -360,7 +360,7 @@
     w = quiet()
     w.state.value_bytes = 10
     with pytest.raises(TooLargeError):
-        w.nodes["n0"].store.commit({}, [summary.Put("b/x", "y" * 20)])
+        w.nodes["n0"].store.commit({}, [load_summary.Put("b/x", "y" * 20)])
     assert w.nodes["n0"].limits.value_bytes == 8192, "only a commit of the owner's teaches"
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,13 +17,13 @@
 from bayford.clock import NEVER
 from bayford.config import Settings, parse
 from bayford.coordination.controller import Controller
-from bayford.coordination.engine import Engine
+from bayford.coordination.leader.scheduler import Engine
 from bayford.protocol import jobs, mesh, workers
 from bayford.protocol.cloud_api import LIST_PAGE, CloudBusyError, Listed, MachinePage, NoCapacityError
 from bayford.scheduling.model import MachineType
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
-from bayford.storage.store import (
+from bayford.storage.key_value_store import (
     LeaseGoneError,
     Outcome,
     OutcomeUnknownError,
--- a/tools/crosscheck.py
+++ b/tools/crosscheck.py
@@ -24,8 +24,8 @@
 HERE = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(HERE))
 
-from bayford.storage import ledger as new  # noqa: E402
 from bayford.storage import records  # noqa: E402
+from bayford.storage import task_log as new  # noqa: E402
 
 # What production's ledger imports and what is called otherwise by now.
 OLD_NAMES = {"Unreadable": records.UnreadableError}
--- a/tools/owner_cost.py
+++ b/tools/owner_cost.py
@@ -19,13 +19,13 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bayford.config import Settings, parse  # noqa: E402
-from bayford.coordination.engine import Engine  # noqa: E402
+from bayford.coordination.leader.scheduler import Engine  # noqa: E402
 from bayford.protocol import workers  # noqa: E402
 from bayford.protocol.cloud_api import Listed  # noqa: E402
 from bayford.scheduling.model import PRIORITIES, JobSpec, MachineType  # noqa: E402
 from bayford.scheduling.policy import Policy  # noqa: E402
 from bayford.storage import records  # noqa: E402
-from bayford.storage.ledger import Ledger  # noqa: E402
+from bayford.storage.task_log import Ledger  # noqa: E402
 
 CPUS = 4.0
 TYPE = MachineType("four", CPUS, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"), 40.0)
