--- a/bayford/admission/control.py
+++ b/bayford/admission/control.py
@@ -34,11 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What the owner knows of the load at one moment."""
+    """What the leader knows of the load at one moment."""
 
     demand: Mapping[Flow, float]  # new jobs a second
     accepted: Mapping[Flow, float]  # acceptances a second
-    capacity: float  # acceptances a second, as the ledger allows at the moment
+    capacity: float  # acceptances a second, as the task log allows at the moment
     kept_up: float  # what can go on for ever: more is overload
     guarantees: Mapping[str, float]  # acceptances a second that are each team's own
     over_guarantee: frozenset[str] = frozenset()  # teams whose open work exceeds their guaranteed CPUs
@@ -59,7 +59,7 @@
 
 
 class LevelControl:
-    """The levels of one owner's term."""
+    """The levels of one leader's term."""
 
     def __init__(self, times: AdmissionTimes) -> None:
         self._times = times
--- a/bayford/admission/distinct.py
+++ b/bayford/admission/distinct.py
@@ -2,7 +2,7 @@
 
 Users repeat what was refused at whichever controller they reach, so attempts say little of demand. Each
 controller keeps the jobs whose hash lies below a threshold, which halves when there are too many: a
-consistent sample, since all take the same jobs. The owner unites the samples and scales up (a theta sketch).
+consistent sample, since all take the same jobs. The leader unites the samples and scales up (a theta sketch).
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,10 +15,10 @@
 HASHES = 1 << 32
 MOST_SAMPLED = 1024  # jobs that one controller remembers
 FEW = 8  # with fewer the threshold rises again: repeats of jobs that lay above it would pass for new ones
-# The owner remembers longer: what a controller has just forgotten may be repeated there a last time, and told
-# again for a while.
+# The leader remembers longer: what a controller has just forgotten may be repeated there a last time, and
+# told again for a while.
 REMEMBERED_S = 2 * REPEAT_S
-RECENT_S = 15.0  # what a controller tells: the owner may miss some of its answers
+RECENT_S = 15.0  # what a controller tells: the leader may miss some of its answers
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
             self._threshold *= 2
 
     def recent(self, now: float) -> Sample:
-        """What to tell the owner."""
+        """What to tell the leader."""
         found = {key: flow for key, (at, flow) in self._seen.items() if now - at <= RECENT_S}
         return Sample(self._threshold, found)
 
--- a/bayford/admission/level.py
+++ b/bayford/admission/level.py
@@ -1,7 +1,7 @@
-"""The admission level: which part of which flow is admitted, as the owner publishes it.
+"""The admission level: which part of which flow is admitted, as the leader publishes it.
 
 One value under `b/admission`. Every controller reads it and makes the same choice by it
-(`admission.choice`); the owner alone writes it (`admission.control`).
+(`admission.choice`); the leader alone writes it (`admission.control`).
 """
 
 from dataclasses import dataclass
--- a/bayford/admission/report.py
+++ b/bayford/admission/level_report.py
@@ -43,8 +43,10 @@
     """For a terminal."""
     environment = jinja2.Environment(undefined=jinja2.StrictUndefined, autoescape=False)
     environment.filters |= {
-        "at": _at, "rank": _rank, "percent": lambda window: 100.0 * window.width / POSITIONS,
-    }  # fmt: skip
+        "at": _at,
+        "rank": _rank,
+        "percent": lambda window: 100.0 * window.width / POSITIONS,
+    }
     return environment.from_string(TEMPLATE).render(level=level, lacking=lacking).strip("\n")
 
 
@@ -56,10 +58,12 @@
         del row["key"]
         row["windows"] = [
             {
-                "priority": _rank(window.priority), "class": window.job_class or OTHER_CLASS,
-                "team": window.team, "admitted": window.width / POSITIONS,
+                "priority": _rank(window.priority),
+                "class": window.job_class or OTHER_CLASS,
+                "team": window.team,
+                "admitted": window.width / POSITIONS,
             }
             for window in level.windows
-        ]  # fmt: skip
+        ]
     found = {"level": row, "in_force": level is not None and not lacking, "lacking": lacking}
     return orjson.dumps(found, option=orjson.OPT_INDENT_2).decode()
--- a/bayford/admission/load.py
+++ b/bayford/admission/load.py
@@ -6,11 +6,11 @@
 
 K = TypeVar("K", bound=Hashable)
 
-DECREASE = 0.85  # of the capacity, when the ledger is held up
+DECREASE = 0.85  # of the capacity, when the task log is held up
 FEW_REFUSALS = 1  # transactions refused in an interval do not show that: bursts meet
 INCREASE = 0.05  # of what can be kept up, otherwise
 LEAST, MOST = 0.25, 1.8  # of what can be kept up
-LAG_S = 60.0  # the ledger is held up when it is so far behind with jobs that are done
+LAG_S = 60.0  # the task log is held up when it is so far behind with jobs that are done
 SPARE_SHARE = 0.08  # of the changes a second, for leases, levels and cancellations
 
 
@@ -44,11 +44,11 @@
 
 
 class AcceptanceCapacity:
-    """Acceptances a second that the state service takes beside the ledger.
+    """Acceptances a second that the state service takes beside the task log.
 
     A job costs a change when it is accepted and one when it is done. In a flood the second may wait for a
-    while, so refusing begins with a capacity above what can be kept up, and comes down to it as the ledger
-    falls behind: multiplicative decrease, additive increase. A transaction of the ledger needs many changes
+    while, so refusing begins with a capacity above what can be kept up, and comes down to it as the task log
+    falls behind: multiplicative decrease, additive increase. A transaction of the task log needs many changes
     at once, and single acceptances that use all there is would keep it from ever being taken; so each of the
     two has a part of its own.
     """
@@ -59,12 +59,12 @@
         self.per_s = MOST * kept_up
         self._write_rps = write_rps
 
-    def ledger_rps(self) -> float:
-        """Changes a second that are left to the ledger while jobs are refused."""
+    def task_log_rps(self) -> float:
+        """Changes a second that are left to the task log while jobs are refused."""
         return max(0.25 * self._write_rps, (1.0 - SPARE_SHARE) * self._write_rps - self.per_s)
 
     def update(self, refusing: bool, refused: int, lag_s: float) -> None:
-        """Once an interval: how many transactions of the ledger were refused, how far it is behind.
+        """Once an interval: how many transactions of the task log were refused, how far it is behind.
 
         While no jobs are refused the capacity holds nothing back, so nothing is to be learned of it.
         """
--- a/bayford/cli.py
+++ b/bayford/cli.py
@@ -42,26 +42,26 @@
     """Run this controller until it is killed."""
     # Imported here: `check-config` and `--help` need none of it.
     from bayford.coordination.controller import Controller
-    from bayford.coordination.leader.scheduler import Engine
+    from bayford.coordination.leader.scheduler import Scheduler
     from bayford.protocol import mesh, workers
     from bayford.protocol.cloud_api import CloudApi
-    from bayford.protocol.key_value_api import StateApi
+    from bayford.protocol.key_value_api import KeyValueApi
     from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
-    from bayford.transport.concurrency_limit import Limit
-    from bayford.transport.http_client import Client
-    from bayford.transport.http_handlers import Front, Mesh
-    from bayford.transport.http_server import Server
+    from bayford.transport.concurrency_limit import ConcurrencyLimit
+    from bayford.transport.http_client import HttpClient
+    from bayford.transport.http_handlers import PeerHandler, UserHandler
+    from bayford.transport.http_server import HttpServer
 
     threading.stack_size(STACK)
     incarnation = f"{random.SystemRandom().getrandbits(48):012x}"
     log.info("%s %s starts, incarnation %s", settings.member, __version__, incarnation)
-    state = Client(*split_address(settings.outside.state))
-    cloud = Client(*split_address(settings.outside.cloud), most_idle=3)
+    state = HttpClient(*split_address(settings.outside.state))
+    cloud = HttpClient(*split_address(settings.outside.cloud), most_idle=3)
     rng = random.Random(incarnation)
-    engine = Engine(settings, policy, time.monotonic, time.time, rng)
+    scheduler = Scheduler(settings, policy, time.monotonic, time.time, rng)
 
     def asker(endpoint: str) -> Callable[[float], mesh.Status | None]:
-        client = Client(*split_address(endpoint), most_idle=2, connect_s=0.8)
+        client = HttpClient(*split_address(endpoint), most_idle=2, connect_s=0.8)
 
         def ask(timeout_s: float) -> mesh.Status | None:
             try:
@@ -73,7 +73,7 @@
         return ask
 
     def notifier(endpoint: str) -> Callable[[dict[str, float]], bool]:
-        client = Client(*split_address(endpoint), most_idle=1, connect_s=0.8)
+        client = HttpClient(*split_address(endpoint), most_idle=1, connect_s=0.8)
 
         def notify(cancelled: dict[str, float]) -> bool:
             try:
@@ -87,7 +87,7 @@
     def command(address: str, body: bytes) -> bytes | None:
         # Of hundreds of machines any may be told to stop something, seldom the same one again soon: a
         # connection kept for each would cost as many sockets as the workers' own.
-        client = Client(*split_address(address), most_idle=0, connect_s=0.7)
+        client = HttpClient(*split_address(address), most_idle=0, connect_s=0.7)
         try:
             status, answer = client.call("POST", workers.COMMANDS_PATH, body, 1.5)
         except (UnavailableError, OutcomeUnknownError):
@@ -96,8 +96,8 @@
 
     controller = Controller(
         settings,
-        engine,
-        StateApi(state.call),
+        scheduler,
+        KeyValueApi(state.call),
         CloudApi(cloud.call),
         incarnation,
         {peer.member: asker(peer.endpoint) for peer in settings.seeds},
@@ -107,8 +107,10 @@
     # Every worker, and users beside them, may come to one controller: a thread each, 0.03 MB as measured.
     limits = settings.facts.machine_limits
     most = max(32, min(limits.fd_limit * 3 // 4, int(limits.mem_mb * 8), THREADS))
-    front = Server(*split_address(settings.front), Front(controller, Limit()).handle, most, "front")
-    peers = Server(*split_address(settings.mesh_addr), Mesh(controller).handle, 32, "mesh")
+    front = HttpServer(
+        *split_address(settings.front), UserHandler(controller, ConcurrencyLimit()).handle, most, "front"
+    )
+    peers = HttpServer(*split_address(settings.mesh_addr), PeerHandler(controller).handle, 32, "mesh")
     front.start()
     peers.start()
     controller.start()
@@ -140,11 +142,11 @@
 
 def stored_rows(settings: Settings, prefixes: list[str]) -> list[list[Row]] | None:
     """What the state service holds below each prefix; None, and a complaint, if it is out."""
-    from bayford.protocol.key_value_api import StateApi
+    from bayford.protocol.key_value_api import KeyValueApi
     from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
-    from bayford.transport.http_client import Client
+    from bayford.transport.http_client import HttpClient
 
-    state = StateApi(Client(*split_address(settings.outside.state)).call)
+    state = KeyValueApi(HttpClient(*split_address(settings.outside.state)).call)
     try:
         return [state.scan(prefix)[0] for prefix in prefixes]
     except (UnavailableError, OutcomeUnknownError) as bad:
@@ -154,7 +156,7 @@
 
 def show_zones(settings: Settings, as_json: bool) -> int:
     """Print what the state service holds of the zones' losses; exit status 1 if that can't be read."""
-    from bayford.recovery import report
+    from bayford.recovery import zone_report
     from bayford.recovery.zone_record import UnreadableRecordError, decode
     from bayford.storage import records
 
@@ -169,13 +171,13 @@
         except UnreadableRecordError as bad:
             print(f"bayford: {row.key}: {bad}", file=sys.stderr)
             status = 1
-    print(report.as_json(zones) if as_json else report.as_text(zones))
+    print(zone_report.as_json(zones) if as_json else zone_report.as_text(zones))
     return status
 
 
 def show_admission(settings: Settings, as_json: bool) -> int:
     """Print the admission level; exit status 1 if it can't be read."""
-    from bayford.admission import features, report
+    from bayford.admission import features, level_report
     from bayford.admission.level import UnreadableLevelError, decode
     from bayford.storage import records
 
@@ -189,7 +191,7 @@
         print(f"bayford: {rows[0].key}: {bad}; everything is admitted", file=sys.stderr)
         return 1
     lacking = features.lacking(members, told)
-    print(report.as_json(level, lacking) if as_json else report.as_text(level, lacking))
+    print(level_report.as_json(level, lacking) if as_json else level_report.as_text(level, lacking))
     return 0
 
 
--- a/bayford/config.py
+++ b/bayford/config.py
@@ -48,7 +48,7 @@
 class Workers(msgspec.Struct, frozen=True):
     """Times that the workers keep."""
 
-    report_s: float
+    heartbeat_interval_s: float = msgspec.field(name="report_s")
     lease_s: float
     cancel_s: float
 
@@ -79,7 +79,7 @@
     list_lag_s: float
 
 
-class Limits(msgspec.Struct, frozen=True):
+class MachineLimits(msgspec.Struct, frozen=True):
     """What this controller's own machine gives."""
 
     core_share: float = 1.0
@@ -98,7 +98,7 @@
     nodes: int = 1
     time_bound_ms: float = 0.0
     objectives: list[Objective] = []
-    machine_limits: Limits = Limits()
+    machine_limits: MachineLimits = MachineLimits()
 
 
 class Settings(msgspec.Struct, frozen=True):
@@ -166,7 +166,7 @@
 def _check_amounts(facts: Facts) -> None:
     above_zero: dict[str, float] = {
         "nodes": facts.nodes,
-        "workers.report_s": facts.workers.report_s,
+        "workers.report_s": facts.workers.heartbeat_interval_s,
         "workers.lease_s": facts.workers.lease_s,
         "workers.cancel_s": facts.workers.cancel_s,
         "state.rps": facts.state.rps,
--- a/bayford/coordination/api/acceptance_rate.py
+++ b/bayford/coordination/api/acceptance_rate.py
@@ -2,12 +2,12 @@
 
 Additive increase, multiplicative decrease: a refused acceptance halves the rate, an accepted one raises it a
 little. So a flood that no level holds back yet does not fill the state service with requests that it refuses,
-among which the ledger, the leases and the level itself would be lost.
+among which the task log, the leases and the level itself would be lost.
 """
 
 from collections.abc import Callable
 
-from bayford.coordination.token_bucket import Budget
+from bayford.coordination.token_bucket import TokenBucket
 
 DECREASE = 0.5
 DECREASE_PAUSE_S = 0.25  # refusals so close to the last decrease are of the same rate
@@ -17,7 +17,7 @@
 URGENT_RESERVE = 0.5  # of the burst: what is not urgent leaves it alone
 
 
-class AcceptancePace:
+class AcceptanceRateLimiter:
     """A token bucket whose rate follows the answers of the state service."""
 
     def __init__(self, most: float, clock: Callable[[], float]) -> None:
@@ -26,7 +26,7 @@
         self._clock = clock
         self._rate = most
         self._decreased_at = clock() - DECREASE_PAUSE_S
-        self._bucket = Budget(most, max(LEAST_BURST, most), clock)
+        self._bucket = TokenBucket(most, max(LEAST_BURST, most), clock)
 
     def take(self, urgent: bool, allowed: float | None) -> bool:
         """Whether one more acceptance may be written now; `allowed`: the level's rate for this controller."""
--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -1,7 +1,7 @@
-"""Admission at one controller: the owner's level applied to each submission that is not known yet.
+"""Admission at one controller: the leader's level applied to each submission that is not known yet.
 
-Whatever it answers rests on one revision of the mirror, read after the submission came. What it admits is
-conditional on the level's stamp, so that it stands under the level in force when it is written.
+Whatever it answers rests on one revision of the watch cache, read after the submission came. What it admits
+is conditional on the level's version, so that it stands under the level in force when it is written.
 """
 
 import logging
@@ -13,13 +13,13 @@
 from bayford.admission.choice import decide
 from bayford.admission.distinct import Sample, SubmittedJobs
 from bayford.admission.level import OTHER_CLASS, Flow, Level, UnreadableLevelError, decode
-from bayford.coordination.api.acceptance_rate import AcceptancePace
+from bayford.coordination.api.acceptance_rate import AcceptanceRateLimiter
 from bayford.coordination.api.responses import Reply
 from bayford.protocol import jobs
 from bayford.scheduling.model import URGENT, JobSpec
 from bayford.storage import records
 from bayford.storage.key_value_store import Row
-from bayford.storage.watch_cache import Mirror
+from bayford.storage.watch_cache import WatchCache
 
 log = logging.getLogger("bayford.admission")
 
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelView:
-    """The level as of one revision of the mirror."""
+    """The level as of one revision of the watch cache."""
 
     level: Level | None  # None: there is none, or none that can be read
-    stamp: int  # of its key, 0 if there is none
+    version: int  # of its key, 0 if there is none
     lacking: tuple[str, ...]  # controllers that don't keep to it: it is not in force
     controllers: int  # that live
 
@@ -56,17 +56,17 @@
     """The choice at this controller, its part of the pace, and the count of what was submitted here."""
 
     def __init__(
-        self, mirror: Mirror, classes: Iterable[str], write_rps: float, clock: Callable[[], float]
+        self, watch_cache: WatchCache, classes: Iterable[str], write_rps: float, clock: Callable[[], float]
     ) -> None:
         """`classes`: those that the deployment names; all others count as one. `write_rps`: changes a second
         that the state service takes."""
-        self._mirror = mirror
+        self._watch_cache = watch_cache
         self._classes = frozenset(classes)
         self._clock = clock
         self._lock = threading.Lock()
-        self._decoded: tuple[int, Level | None] = (0, None)  # stamp, and what was found there
+        self._decoded: tuple[int, Level | None] = (0, None)  # version, and what was found there
         self._lacking: tuple[str, ...] = ()
-        self._pace = AcceptancePace(write_rps, clock)
+        self._pace = AcceptanceRateLimiter(write_rps, clock)
         self._submitted = SubmittedJobs()
         self._refused = 0
 
@@ -76,18 +76,18 @@
         return Flow(spec.priority, job_class, spec.team)
 
     def check(self, spec: JobSpec) -> Verdict:
-        """Decide on a valid submission of a job that the mirror, just read, does not know."""
+        """Decide on a valid submission of a job that the watch cache, just read, does not know."""
         flow = self.flow(spec)
         with self._lock:
             self._submitted.note(flow, spec.id, self._clock())
         view = self.view()
-        conditions = {records.ADMISSION: view.stamp}
+        conditions = {records.ADMISSION: view.version}
         level = view.in_force
         decision = decide(level, flow, spec.id)
         if level is not None and not decision.admitted:
             with self._lock:
                 self._refused += 1
-            return Verdict(_refusal(flow, level, view.stamp, decision.retry_after_s), conditions)
+            return Verdict(_refusal(flow, level, view.version, decision.retry_after_s), conditions)
         allowed = None
         if level is not None and level.accept_rps:
             allowed = level.accept_rps / max(1, view.controllers)
@@ -112,31 +112,31 @@
 
     def view(self) -> LevelView:
         """The level and the controllers, as of one revision."""
-        row, (members, told) = self._mirror.together(
+        row, (members, told) = self._watch_cache.read_together(
             records.ADMISSION, (records.MEMBERS, records.FEATURES)
-        )  # fmt: skip
+        )
         missing = tuple(features.lacking(members, told))
         level = None if row is None else self._decode(row)
         if missing != self._lacking:
             self._lacking = missing
             if missing and level is not None and not level.is_open:
                 log.info("the admission level is not in force: %s keep to none", ", ".join(missing))
-        return LevelView(level, 0 if row is None else row.stamp, missing, len(members))
+        return LevelView(level, 0 if row is None else row.version, missing, len(members))
 
     def _decode(self, row: Row) -> Level | None:
         with self._lock:
-            if self._decoded[0] == row.stamp:
+            if self._decoded[0] == row.version:
                 return self._decoded[1]
             try:
                 level = decode(row.value)
             except UnreadableLevelError as bad:
                 log.error("%s: %s; everything is admitted", row.key, bad)
                 level = None
-            self._decoded = (row.stamp, level)
+            self._decoded = (row.version, level)
             return level
 
     def submitted(self) -> Sample:
-        """The jobs submitted here lately, for the owner."""
+        """The jobs submitted here lately, for the leader."""
         with self._lock:
             return self._submitted.recent(self._clock())
 
--- a/bayford/coordination/api/job_requests.py
+++ b/bayford/coordination/api/job_requests.py
@@ -13,21 +13,21 @@
 
 from bayford.coordination.api.admission_gate import AdmissionGate
 from bayford.coordination.api.responses import Reply
-from bayford.coordination.store_limits import Limits
+from bayford.coordination.store_limits import StoreLimits
 from bayford.protocol import jobs
 from bayford.scheduling.model import ARRAY, JobSpec, MachineType
-from bayford.scheduling.quota import Share
+from bayford.scheduling.quota import TeamQuota
 from bayford.storage import records
 from bayford.storage.key_value_store import (
+    KeyValueStore,
     LeaseGoneError,
     OutcomeUnknownError,
     Put,
     Row,
-    Store,
     TooLargeError,
     UnavailableError,
 )
-from bayford.storage.watch_cache import Mirror
+from bayford.storage.watch_cache import WatchCache
 
 log = logging.getLogger("bayford.users")
 
@@ -44,19 +44,19 @@
     def catalog(self) -> list[MachineType]:
         """The machine types of the cloud; none before they are known."""
 
-    def team_share(self, team: str) -> Share | None:
+    def team_quota(self, team: str) -> TeamQuota | None:
         """The guarantee and limit of a team, None for an unknown one."""
 
 
-class UserRequests:
+class JobRequests:
     """What users ask of one controller."""
 
     def __init__(
         self,
-        store: Store,
-        mirror: Mirror,
+        store: KeyValueStore,
+        watch_cache: WatchCache,
         deployment: Deployment,
-        limits: Limits,
+        limits: StoreLimits,
         wall: Callable[[], float],
         on_cancelled: Callable[[str, float], None],
         gate: AdmissionGate | None = None,
@@ -65,7 +65,7 @@
         everything is admitted."""
         self._gate = gate
         self._store = store
-        self._mirror = mirror
+        self._watch_cache = watch_cache
         self._deployment = deployment
         self._limits = limits
         self._wall = wall
@@ -92,18 +92,18 @@
 
     def _read(self) -> None:
         """Take in a read that is sent from now on."""
-        if not self._mirror.fresh(READ_TIMEOUT_S):
+        if not self._watch_cache.refresh(READ_TIMEOUT_S):
             raise UnavailableError(NO_STATE)
 
     def _write(
-        self, record: records.Record, stamp: int, conditions: Mapping[str, int] = MappingProxyType({})
+        self, record: records.Record, version: int, conditions: Mapping[str, int] = MappingProxyType({})
     ) -> bool:
-        """Write a user's change of a record that stands at `stamp`; False if it has changed since, or if one
-        of the `conditions` does not hold any more."""
+        """Write a user's change of a record that stands at `version`; False if it has changed since, or if
+        one of the `conditions` does not hold any more."""
         key = records.key(record.spec.id)
         value = records.fitted(record, self._limits.value_bytes) if record.over else records.encode(record)
         try:
-            outcome = self._store.commit({key: stamp, **conditions}, [Put(key, value)])
+            outcome = self._store.compare_and_swap({key: version, **conditions}, [Put(key, value)])
         except TooLargeError as bad:
             log.error("job %s: %s", record.spec.id, bad)
             raise
@@ -112,7 +112,7 @@
         except (OutcomeUnknownError, LeaseGoneError) as bad:
             raise UnavailableError(NO_STATE) from bad
         if outcome.applied:
-            self._mirror.apply([Row(key, value, outcome.revision)])
+            self._watch_cache.apply([Row(key, value, outcome.revision)])
         return outcome.applied
 
     def _accept(self, record: records.Record, conditions: Mapping[str, int]) -> bool:
@@ -134,7 +134,7 @@
             return Reply(400, jobs.error(str(bad)))
         for _ in range(SUBMIT_ATTEMPTS):
             self._read()
-            known = self._mirror.state(spec.id)
+            known = self._watch_cache.job_state(spec.id)
             if known is not None:
                 return Reply(200, jobs.answer(known))
             refusal = self._refusal(spec)
@@ -172,7 +172,7 @@
         types = self._deployment.catalog()
         if not types:
             return Reply(503, jobs.error("machine types are not known yet"))
-        share = self._deployment.team_share(spec.team)
+        share = self._deployment.team_quota(spec.team)
         if share is None:
             return Reply(422, jobs.error(f"unknown team {spec.team}"))
         if not share.could_ever(spec):
@@ -186,11 +186,11 @@
         return None
 
     def _query(self, job_id: str) -> Reply:
-        found = self._mirror.state(job_id) if self._mirror.knows(job_id) else None
-        # Done and cancelled are final: the mirror is enough for them.
+        found = self._watch_cache.job_state(job_id) if self._watch_cache.has_job(job_id) else None
+        # Done and cancelled are final: the watch cache is enough for them.
         if found is None or not found.record.over:
             self._read()
-            found = self._mirror.state(job_id)
+            found = self._watch_cache.job_state(job_id)
         if found is None:
             return Reply(404, jobs.error("no such job"))
         return Reply(200, jobs.answer(found))
@@ -198,14 +198,14 @@
     def _cancel(self, job_id: str) -> Reply:
         for _ in range(CANCEL_ATTEMPTS):
             self._read()
-            found = self._mirror.state(job_id)
+            found = self._watch_cache.job_state(job_id)
             if found is None:
                 return Reply(404, jobs.error("no such job"))
             if found.record.over:
                 return Reply(200, jobs.answer(found))
             now = round(self._wall(), 2)
             changed = msgspec.structs.replace(found.record, cancelled=now, done=found.done)
-            if self._write(changed, found.stamp):
+            if self._write(changed, found.version):
                 self._on_cancelled(job_id, now)
                 return Reply(200, jobs.answer(records.State(changed, 0, 0, found.done)))
         return Reply(503, jobs.error("the job changes too fast, try again"))
--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -5,9 +5,9 @@
 
 import logging
 
-from bayford.coordination.leader.commit_batch import Relocation
-from bayford.coordination.leader.leader_state import Key, OwnerState
-from bayford.coordination.leader.migrator import Mover
+from bayford.coordination.leader.commit_batch import Migration
+from bayford.coordination.leader.leader_state import AttemptKey, LeaderState
+from bayford.coordination.leader.migrator import Migrator
 from bayford.protocol import workers
 from bayford.scheduling import placement_rules, tempered
 from bayford.scheduling.model import EPS, GANG, SERVICE, Job, Machine
@@ -16,17 +16,17 @@
 
 
 class Balancer:
-    """The paper's balancer. Called under the lock of the owner's state."""
+    """The paper's balancer. Called under the lock of the leader's state."""
 
-    def __init__(self, state: OwnerState, mover: Mover) -> None:
+    def __init__(self, state: LeaderState, migrator: Migrator) -> None:
         self._state = state
-        self._mover = mover
+        self._migrator = migrator
 
     def free_room(self, queue: list[Job], now: float) -> None:
         """The paper's balancer: move running tasks off a machine to free the room that a waiting task
         needs there, when it fits on no machine. Moves are stops with a hint where to go on."""
         state = self._state
-        if state.halting or state.uncounted:
+        if state.stopping or state.uncounted_migrations:
             return  # room is being made as it is
         waiting = [
             job
@@ -34,7 +34,7 @@
             if job.waiting
             and job.spec.shape != GANG
             and job.not_before <= now
-            and state.shares[job.team].allows(job.spec)
+            and state.quotas[job.team].allows(job.spec)
         ]
         if not waiting:
             return
@@ -42,7 +42,7 @@
         usable = [
             m
             for m in state.machines.values()
-            if m.usable and not m.relay and m.kept_until <= now and m.full_until <= now
+            if m.usable and not m.relay and m.reserved_until <= now and m.backoff_until <= now
         ]
         state.balance_asked += 1
         free = sum(m.free_cpus for m in usable)
@@ -58,16 +58,22 @@
                 continue
             # Else the task moved away may be first in the queue and come straight back.
             source = state.machines[plan.source]
-            places = [source.open[move.key] for move in plan.moves]
-            self._mover.keep_room(source.index, job, places)
-            self._mover.move(
-                [Relocation(place, move.target, now) for place, move in zip(places, plan.moves, strict=True)]
+            placements = [source.open[move.key] for move in plan.moves]
+            self._migrator.keep_room(source.index, job, placements)
+            self._migrator.move(
+                [
+                    Migration(placement, move.target, now)
+                    for placement, move in zip(placements, plan.moves, strict=True)
+                ]
             )
             log.info(
-                "job %s fits nowhere: moving %s off %s (imbalance then %.2f)", job.spec.id,
-                [m.key[0] for m in plan.moves], state.machines_by[plan.source], plan.imbalance,
-            )  # fmt: skip
-            return  # the picture has changed
+                "job %s fits nowhere: moving %s off %s (imbalance then %.2f)",
+                job.spec.id,
+                [m.key[0] for m in plan.moves],
+                state.machine_names[plan.source],
+                plan.imbalance,
+            )
+            return  # the snapshot has changed
 
     def _plan(
         self, job: Job, moves: int, usable: list[Machine], hosts: dict[int, tempered.Host], now: float
@@ -93,10 +99,12 @@
         best: tempered.Plan | None = None
         counts_ = tempered.Counts(state.policy.balance_trials, state.policy.balance_iterations, moves)
 
-        def allowed_(key: Key, target: int) -> bool:
+        def allowed_(key: AttemptKey, target: int) -> bool:
             # A service is not interrupted for work that may wait: only for another of its rank or above.
             moved = state.jobs[(workers.split_task(key[0]) or ("", 0))[0]]
-            return (not moved.standing or spec.priority >= moved.spec.priority) and self.may_move(key, target)
+            return (not moved.is_service or spec.priority >= moved.spec.priority) and self.may_move(
+                key, target
+            )
 
         for _, index in sorted(sources)[: state.policy.balance_sources]:
             plan = tempered.free_room(list(hosts.values()), index, need, counts_, allowed_, state.rng)
@@ -112,15 +120,15 @@
 
     def _host(self, machine: Machine) -> tempered.Host:
         items = []
-        for place in machine.open.values():
-            spec = place.job.spec
-            movable = spec.shape == SERVICE or (spec.checkpoint_s > 0 and spec.shape != GANG)
-            if movable and place.running_since is not None and not place.halting:
-                items.append(tempered.Item(place.key, (spec.cpus, spec.gpus, spec.mem_gb)))
+        for placement in machine.open.values():
+            spec = placement.job.spec
+            movable = spec.shape == SERVICE or (spec.checkpoint_interval_s > 0 and spec.shape != GANG)
+            if movable and placement.running_since is not None and not placement.stopping:
+                items.append(tempered.Item(placement.key, (spec.cpus, spec.gpus, spec.mem_gb)))
         free = (machine.free_cpus, machine.free_gpus, machine.free_mem)
         return tempered.Host(machine.index, machine.cpus, free, items)
 
-    def may_move(self, key: Key, target: int) -> bool:
+    def may_move(self, key: AttemptKey, target: int) -> bool:
         """Whether the task's job allows the target, the task itself gone from where it is."""
         state = self._state
         job_id, task = workers.split_task(key[0]) or ("", 0)
@@ -131,12 +139,12 @@
             counts[here] -= 1
             if not counts[here]:
                 del counts[here]
-        if job.standing and not self._may_move_replica(job, machine):
+        if job.is_service and not self._may_move_replica(job, machine):
             return False
         return (
             machine.zone is not None
             and machine.zone not in state.closed_zones | state.returning_zones
-            and self._mover.allows(job, task)
+            and self._migrator.allows(job, task)
             and machine.index not in job.failed_on
             and placement_rules.type_allowed(job, machine)
             and placement_rules.zone_allowed(job, machine.zone, counts)
@@ -148,7 +156,7 @@
         return (
             bool(machine.images.get(job.image))
             and not job.waiting
-            and not job.resting
-            and not any(place.job is job for place in machine.open.values())
-            and not any(p.halting or p.running_since is None for p in job.open.values())
+            and not job.backing_off
+            and not any(placement.job is job for placement in machine.open.values())
+            and not any(p.stopping or p.running_since is None for p in job.open.values())
         )
--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -1,7 +1,8 @@
-"""What the owner asks of the cloud: the catalog, the list of machines, rentals and deletions.
+"""What the leader asks of the cloud: the catalog, the list of machines, launch requests and deletions.
 
-The decisions are the engine's; this carries them out within the cloud's rate of requests. Before anything is
-rented or deleted the controller must be sure to be the owner still: the decision may be older than that.
+The decisions are the scheduler's; this carries them out within the cloud's rate of requests. Before anything
+is launched or deleted the controller must be sure to be the leader still: the decision may be older than
+that.
 """
 
 import logging
@@ -10,75 +11,76 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from bayford.coordination.leader.autoscaler import FleetStep, RentalOrder
-from bayford.coordination.leader.scheduler import Engine
-from bayford.coordination.token_bucket import Budget
+from bayford.coordination.leader.autoscaler import LaunchRequest, ScalingActions
+from bayford.coordination.leader.scheduler import Scheduler
+from bayford.coordination.token_bucket import TokenBucket
 from bayford.protocol.cloud_api import Cloud, CloudBusyError, Listed, NoCapacityError
 
 log = logging.getLogger("bayford.cloud")
 
-OWNER_SHARE = 0.8  # of the cloud's rate: the other controllers ask for the catalog alone
-RENTAL_QUEUE = 256  # requests of up to 50 machines each; what is over is decided anew
-RENTAL_ATTEMPTS = 4
-MOST_PER_RENTAL = 50
-MOST_PER_DELETION = 100
+LEADER_SHARE = 0.8  # of the cloud's rate: the other controllers ask for the catalog alone
+LAUNCH_QUEUE = 256  # requests of up to 50 machines each; what is over is decided anew
+LAUNCH_ATTEMPTS = 4
+MAX_PER_LAUNCH = 50
+MAX_PER_DELETION = 100
 PACE_S = 0.1
 PACE_ATTEMPTS = 100
 LIST_PERIOD_S = 2.0
-LIST_SHARE = 0.4  # of our rate, at the most: a long list must leave room for rentals and deletions
-OWNER_CATALOG_PERIOD_S = 25.0
+LIST_SHARE = 0.4  # of our rate, at the most: a long list must leave room for launch requests and deletions
+LEADER_CATALOG_PERIOD_S = 25.0
 CATALOG_PERIOD_S = 60.0
 AFTER_CALL_S = 0.05
 AFTER_FAILED_DELETION_S = 0.5
 
 
-class Ownership(Protocol):
+class LeadershipStatus(Protocol):
     """What the calls need to know of the controller's standing."""
 
-    def sure_owner(self) -> bool:
-        """Whether this controller may act as the owner on the view it has."""
+    def is_verified_leader(self) -> bool:
+        """Whether this controller may act as the leader on the view it has."""
 
-    def unrivalled(self) -> bool:
-        """Whether nobody can be sure to be the owner, and this controller was the last by the map."""
+    def no_competing_leader(self) -> bool:
+        """Whether nobody can be sure to be the leader, and this controller was the last by the leadership
+        record."""
 
 
-class CloudCalls:
+class CloudOperations:
     """The calls of one controller to the cloud."""
 
     def __init__(
         self,
         cloud: Cloud,
-        engine: Engine,
-        ownership: Ownership,
+        scheduler: Scheduler,
+        leadership: LeadershipStatus,
         rps: float,
         request_prefix: str,
         clock: Callable[[], float],
         pause: Callable[[threading.Event, float], object],
         on_change: Callable[[], None],
     ) -> None:
-        """`request_prefix` is this process's alone, so that no rental is named like another. `on_change`:
-        there is something for the next scheduling round."""
+        """`request_prefix` is this process's alone, so that no launch request is named like another.
+        `on_change`: there is something for the next scheduling round."""
         self._cloud = cloud
-        self._engine = engine
-        self._ownership = ownership
-        self._rps = rps * OWNER_SHARE
-        self._rate = Budget(self._rps, max(1.0, rps), clock)
+        self._scheduler = scheduler
+        self._leadership = leadership
+        self._rps = rps * LEADER_SHARE
+        self._rate = TokenBucket(self._rps, max(1.0, rps), clock)
         self._request_prefix = request_prefix
         self._requests = 0
         self._clock = clock
         self._pause = pause
         self._on_change = on_change
-        self._rentals: queue.Queue[RentalOrder] = queue.Queue(RENTAL_QUEUE)
+        self._launch_queue: queue.Queue[LaunchRequest] = queue.Queue(LAUNCH_QUEUE)
         self._deletions: queue.Queue[str] = queue.Queue()  # each machine is in it once at the most
 
-    def carry_out(self, step: FleetStep) -> None:
-        """Queue what the engine has decided."""
-        for order in step.rentals:
+    def carry_out(self, step: ScalingActions) -> None:
+        """Queue what the scheduler has decided."""
+        for order in step.launches:
             try:
-                self._rentals.put_nowait(order)
+                self._launch_queue.put_nowait(order)
             except queue.Full:
                 # Waiting for a place would hold up the deletions behind it, of cancelled work's machines too.
-                self._engine.not_rented(order)
+                self._scheduler.on_launch_failed(order)
         for deletion in step.deletions:
             self._deletions.put(deletion.machine)
 
@@ -92,7 +94,7 @@
 
     def list_step(self) -> float:
         """Read the list of machines, page by page within the rate; how long to wait until the next time."""
-        if not self._engine.owner:
+        if not self._scheduler.leader:
             return LIST_PERIOD_S
         began = self._clock()
         listed: list[Listed] = []
@@ -104,38 +106,38 @@
             listed += page.machines
             pages += 1
             more = page.more and bool(page.machines)
-        self._engine.on_list(listed, began)
+        self._scheduler.on_list(listed, began)
         return max(LIST_PERIOD_S, pages / (self._rps * LIST_SHARE) - (self._clock() - began))
 
     def catalog_step(self) -> float:
         """Read the catalog; prices move."""
         self.pace()
         types = self._cloud.catalog()
-        first = not self._engine.types
-        self._engine.set_types(types)
+        first = not self._scheduler.types
+        self._scheduler.set_types(types)
         if first:
             self._on_change()
-        return OWNER_CATALOG_PERIOD_S if self._engine.owner else CATALOG_PERIOD_S
+        return LEADER_CATALOG_PERIOD_S if self._scheduler.leader else CATALOG_PERIOD_S
 
-    def rent_step(self) -> float:
-        """Carry out the next rental."""
-        self.rent(self._rentals.get())
+    def launch_step(self) -> float:
+        """Carry out the next launch request."""
+        self.launch(self._launch_queue.get())
         return AFTER_CALL_S
 
-    def rent(self, order: RentalOrder) -> None:
-        """Rent under a name that no request, of whatever process, has had before."""
+    def launch(self, order: LaunchRequest) -> None:
+        """Launch under a name that no request, of whatever process, has had before."""
         self._requests += 1
         request = f"{self._request_prefix}-{self._requests}"
-        count = min(order.count, MOST_PER_RENTAL)
+        count = min(order.count, MAX_PER_LAUNCH)
         at = self._clock()
         names: list[str] = []
-        for attempt in range(RENTAL_ATTEMPTS):
+        for attempt in range(LAUNCH_ATTEMPTS):
             self.pace()
-            if not self._ownership.sure_owner():
-                self._engine.not_rented(order)
+            if not self._leadership.is_verified_leader():
+                self._scheduler.on_launch_failed(order)
                 return
             try:
-                names = self._cloud.rent(request, order.type, order.zone, order.spot, count)
+                names = self._cloud.launch(request, order.type, order.zone, order.spot, count)
                 break
             except NoCapacityError:
                 break
@@ -144,12 +146,12 @@
                 log.info("rental %s: %s", request, bad)
                 self._pause(threading.Event(), 0.5 * 2**attempt)
         log.debug("rental %s (%s): %s", request, order.reason, names)
-        self._engine.rented(order, names, at)
+        self._scheduler.on_launched(order, names, at)
 
     def delete_step(self) -> float:
         """Carry out the next deletions, many in a request."""
         names = [self._deletions.get()]
-        while len(names) < MOST_PER_DELETION:
+        while len(names) < MAX_PER_DELETION:
             try:
                 names.append(self._deletions.get_nowait())
             except queue.Empty:
@@ -159,9 +161,11 @@
     def delete(self, names: list[str]) -> bool:
         """Delete machines; only the cloud's 200 proves that their tasks are gone."""
         self.pace()
-        if not self._ownership.sure_owner():  # decided before a standstill perhaps, and another's by now
-            overdue = self._engine.overdue() if self._ownership.unrivalled() else set()
-            self._engine.not_deleted([name for name in names if name not in overdue])
+        if (
+            not self._leadership.is_verified_leader()
+        ):  # decided before a standstill perhaps, and another's by now
+            overdue = self._scheduler.overdue() if self._leadership.no_competing_leader() else set()
+            self._scheduler.not_deleted([name for name in names if name not in overdue])
             names = [name for name in names if name in overdue]
             if not names:
                 return False
@@ -169,8 +173,8 @@
             self._cloud.delete(names)
         except CloudBusyError as bad:
             log.info("deleting %s: %s", names, bad)
-            self._engine.not_deleted(names)
+            self._scheduler.not_deleted(names)
             return False
-        self._engine.deleted(names)
+        self._scheduler.deleted(names)
         self._on_change()
         return True
--- a/bayford/coordination/leader/commit_batch.py
+++ b/bayford/coordination/leader/commit_batch.py
@@ -7,16 +7,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Relocation:
+class Migration:
     """A running task that is to go on elsewhere, once it is durable that it has been moved once more."""
 
-    place: Placement
+    placement: Placement
     target: int
     decided_at: float
 
 
 @dataclass(slots=True)
-class Batch:
+class CommitBatch:
     """One transaction of the group commit and what it makes durable."""
 
     term: int
@@ -25,5 +25,5 @@
     tasks: dict[str, set[int]] = field(default_factory=dict)
     placements: list[Placement] = field(default_factory=list)
     over: list[str] = field(default_factory=list)
-    moves: dict[str, list[Relocation]] = field(default_factory=dict)  # by job
+    moves: dict[str, list[Migration]] = field(default_factory=dict)  # by job
     dropped_counts: list[str] = field(default_factory=list)  # jobs whose counts of moves are deleted
--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -1,6 +1,6 @@
-"""The state of the owner: its jobs and machines, what of them is durable, and what is to be written next.
+"""The state of the leader: its jobs and machines, what of them is durable, and what is to be written next.
 
-The base of the engine (see `engine`). Everything here runs under one short lock and does no I/O.
+The base of the scheduler (see `scheduler`). Everything here runs under one short lock and does no I/O.
 """
 
 import logging
@@ -14,39 +14,39 @@
 from bayford.clock import NEVER
 from bayford.config import Settings
 from bayford.coordination.leader import run_time_estimator
-from bayford.coordination.leader.commit_batch import Batch, Relocation
-from bayford.coordination.store_limits import Limits
+from bayford.coordination.leader.commit_batch import CommitBatch, Migration
+from bayford.coordination.store_limits import StoreLimits
 from bayford.protocol import workers
 from bayford.scheduling import scaling
-from bayford.scheduling.capacity_index import RoomIndex
+from bayford.scheduling.capacity_index import CapacityIndex
 from bayford.scheduling.model import (
     SERVICE,
     SERVICE_RUN_S,
     URGENT,
+    Interner,
     Job,
     JobSpec,
     Machine,
     MachineType,
-    Names,
     Placement,
 )
 from bayford.scheduling.policy import Policy
-from bayford.scheduling.quota import Share
+from bayford.scheduling.quota import TeamQuota
 from bayford.spread.restarts import RestartBudget, UnreadableCountsError
 from bayford.storage import records
-from bayford.storage.task_log import Ledger, Progress
+from bayford.storage.task_log import Progress, TaskLog
 
 log = logging.getLogger("bayford.engine")
 
-Key = tuple[str, int]  # task name, attempt
+AttemptKey = tuple[str, int]  # task name, attempt
 ROOM_KEPT_S = 4.0  # how long room that was made for a job is kept for it
 
 
 T = TypeVar("T")
 
 
-class OwnerState:
-    """Jobs, machines, shares and versions of this controller while it is owner."""
+class LeaderState:
+    """Jobs, machines, shares and versions of this controller while it is leader."""
 
     def __init__(
         self,
@@ -63,78 +63,82 @@
         self.wall = wall
         self.rng = rng
         self.lock = threading.Lock()
-        self.machines_by = Names()
-        self.zones = Names(facts.zones)
-        self.types_by = Names()
-        self.teams_by = Names(t.name for t in facts.teams)
-        self.images = Names()
-        self.classes = Names()
+        self.machine_names = Interner()
+        self.zones = Interner(facts.zones)
+        self.type_names = Interner()
+        self.team_names = Interner(t.name for t in facts.teams)
+        self.images = Interner()
+        self.classes = Interner()
         self.types: list[MachineType] = []
-        self.limits = Limits(facts.state)
-        self.estimates = run_time_estimator.Estimates()
+        self.limits = StoreLimits(facts.state)
+        self.run_times = run_time_estimator.RunTimeEstimator()
         # Called under the lock, so they must be short and take no lock of ours.
         self.on_ready: Callable[[int], None] = lambda machine: None
-        self.on_halt: Callable[[int], None] = lambda machine: None
-        self.on_gone: Callable[[int], None] = lambda machine: None
-        self.on_adopted: Callable[[], None] = lambda: None
-        self.on_done: Callable[[Placement], None] = lambda place: None
+        self.on_stop_requested: Callable[[int], None] = lambda machine: None
+        self.on_machine_deleted: Callable[[int], None] = lambda machine: None
+        self.on_leadership_acquired: Callable[[], None] = lambda: None
+        self.on_done: Callable[[Placement], None] = lambda placement: None
         self.on_accepted: Callable[[JobSpec], None] = lambda spec: None
-        self.on_placed: Callable[[Placement], None] = lambda place: None
+        self.on_placed: Callable[[Placement], None] = lambda placement: None
         # The counts of these moves are durable: they may begin.
-        self.on_moves_counted: Callable[[list[Relocation]], None] = lambda moves: None
-        # Runs something short on the mirror's ledger.
-        self.with_ledger: Callable[[Callable[[Ledger], Any]], Any] = lambda call: None
-        self.refused: dict[scaling.Option, float] = {}
+        self.on_migrations_counted: Callable[[list[Migration]], None] = lambda moves: None
+        # Runs something short on the watch cache's task log.
+        self.with_task_log: Callable[[Callable[[TaskLog], Any]], Any] = lambda call: None
+        self.refused: dict[scaling.MachinePool, float] = {}
         # When the users want a class done: the aims of the settings, for jobs without a deadline.
-        self.targets = {
+        self.completion_targets_s = {
             o.job_class: o.within_s
             for o in facts.objectives
             if o.kind == "finished" and o.job_class is not None and o.within_s is not None
         }
         # Classes that the users' aims name and that may be services: how soon they start counts, how soon
         # they end does not. A job of another shape shows that its class is none.
-        ends = {o.job_class for o in facts.objectives if o.kind in ("finished", "deadline")}
-        starts = [o for o in facts.objectives if o.kind in ("wait", "up") and o.job_class not in ends]
-        self.standing_classes = {o.job_class for o in starts}
+        consecutive_exits = {o.job_class for o in facts.objectives if o.kind in ("finished", "deadline")}
+        starts = [
+            o for o in facts.objectives if o.kind in ("wait", "up") and o.job_class not in consecutive_exits
+        ]
+        self.service_classes = {o.job_class for o in starts}
         # How soon a service's replicas have to run, as far as the aims say.
-        self.standing_within_s = min((o.within_s for o in starts if o.within_s), default=0.0)
+        self.service_start_target_s = min((o.within_s for o in starts if o.within_s), default=0.0)
         self._clear()
 
     def _clear(self) -> None:
-        self.owner = False
+        self.leader = False
         self.complete = False
         self.term = -1
-        self.token = 0
+        self.fencing_token = 0
         self.jobs: dict[str, Job] = {}
-        # Tasks whose state here is newer than the ledger's, the transaction without an answer yet, and the
+        # Tasks whose state here is newer than the task log's, the transaction without an answer yet, and the
         # jobs that are over and have still to be closed there.
         self.dirty: dict[str, set[int]] = {}
-        self.flying: Batch | None = None
-        self.ending: dict[str, None] = {}
+        self.in_flight: CommitBatch | None = None
+        self.pending_completions: dict[str, None] = {}
         self.next_attempt = 1
         self.machines: dict[int, Machine] = {}
-        self.room = RoomIndex()  # those with some CPU or card free
-        self.noticed: dict[int, Machine] = {}  # those that the cloud is about to take
-        self.halting: dict[Placement, None] = {}
-        self.seen: dict[int, dict[Key, str]] = {}  # what the last report said: phase of each attempt
-        self.gone: set[str] = set()
-        self.shares = [
-            Share(t.name, t.cpus, t.cpus_max or math.inf, t.gpus, t.gpus_max or math.inf)
+        self.capacity_index = CapacityIndex()  # those with some CPU or card free
+        self.reclaim_pending: dict[int, Machine] = {}  # those that the cloud is about to take
+        self.stopping: dict[Placement, None] = {}
+        self.seen: dict[
+            int, dict[AttemptKey, str]
+        ] = {}  # what the last heartbeat said: phase of each attempt
+        self.deleted_machines: set[str] = set()
+        self.quotas = [
+            TeamQuota(t.name, t.cpus, t.cpus_max or math.inf, t.gpus, t.gpus_max or math.inf)
             for t in self.settings.facts.teams
         ]
-        # We were owner, and every cancellation till then was known here: the sending of the last read that
-        # showed the map that made us owner. A comparison of the map alone, or a write of our own, shows no
-        # cancellation that another controller has confirmed.
+        # We were leader, and every cancellation till then was known here: the sending of the last read that
+        # showed the leadership record that made us leader. A comparison of the leadership record alone, or a
+        # write of our own, shows no cancellation that another controller has confirmed.
         self.verified_at = NEVER
-        self.last_report = NEVER
-        self.owner_since = 0.0
-        self.inherited = False  # machines or work of an owner before us
+        self.last_heartbeat_received_at = NEVER
+        self.leader_since = 0.0
+        self.recovered_predecessor = False  # machines or work of a leader before us
         self.listed_at = NEVER  # when the cloud's last list was asked for
-        self.late_picture: dict[str, list[str]] = {}
-        self.renting: dict[scaling.Option, int] = {}
+        self.summarized_images: dict[str, list[str]] = {}
+        self.launching: dict[scaling.MachinePool, int] = {}
         self.urgent_jobs: list[tuple[float, float]] = []  # when accepted, CPUs
-        self.standing_jobs: list[tuple[float, JobSpec]] = []  # services accepted lately, and when
-        self.standing: set[int] = set()  # ordinary machines that are kept for services
+        self.recent_services: list[tuple[float, JobSpec]] = []  # services accepted lately, and when
+        self.service_machines: set[int] = set()  # on-demand machines that are kept for services
         self.refusals = 0
         self.starts = 0
         self.balanced_at = NEVER
@@ -147,78 +151,80 @@
         self.moves = 0
         self.restarts = RestartBudget(
             self.policy.spread_restarts, self.policy.spread_restarts_default, self.limits.value_bytes
-        )  # fmt: skip
-        self.uncounted: dict[str, list[Relocation]] = {}  # moves whose counts have still to be written
-        self.old_counts: dict[str, None] = {}  # jobs that are over and whose counts may be deleted
+        )
+        self.uncounted_migrations: dict[
+            str, list[Migration]
+        ] = {}  # moves whose counts have still to be written
+        self.obsolete_counts: dict[str, None] = {}  # jobs that are over and whose counts may be deleted
         self.spread_at = NEVER
-        self.zone_records: Mapping[str, Any] = MappingProxyType({})  # as the owner before has written them
-        self.closed_zones: frozenset[int] = frozenset()  # where nothing is placed or rented
+        self.zone_records: Mapping[str, Any] = MappingProxyType({})  # as the leader before has written them
+        self.closed_zones: frozenset[int] = frozenset()  # where nothing is placed or launched
         self.returning_zones: frozenset[int] = frozenset()  # where work comes back in the stated order,
         self.verified_machines: frozenset[int] = frozenset()  # to these machines
-        self.dear_serves = True
+        self.on_demand_needed = True
 
-    def adopt(
+    def recover(
         self,
         found: Iterable[tuple[records.Record, int, Progress | None]],
         next_attempt: int = 1,
-        late_picture: dict[str, list[str]] | None = None,
+        summarized_images: dict[str, list[str]] | None = None,
         term: int = 0,
-        token: int = 0,
+        fencing_token: int = 0,
         as_of: float = NEVER,
         moves: Mapping[str, Any] = MappingProxyType({}),
         zones: Mapping[str, Any] = MappingProxyType({}),
     ) -> None:
-        """Become owner: rebuild everything from the records. Nothing is placed before this is complete.
+        """Become leader: rebuild everything from the records. Nothing is placed before this is complete.
 
-        `late_picture` is the last summary of the owner before: the images on each machine. It only
-        steers choices, so that it is late, or missing, does no harm. `term` is the stamp of the map that
-        made us owner: every write names it. Never the stamp of the newest map seen, for that may already
-        be another's, and our writes would pass under it. `as_of`: when the read of all that was sent.
-        `moves`: what is stored of each job's restarts by moves,
+        `summarized_images` is the last summary of the leader before: the images on each machine. It only
+        steers choices, so that it is late, or missing, does no harm. `term` is the version of the leadership
+        record that made us leader: every write names it. Never the version of the newest map seen, for that
+        may already be another's, and our writes would pass under it. `as_of`: when the read of all that was
+        sent. `moves`: what is stored of each job's restarts by moves,
         `zones`: of each zone's losses.
         """
         with self.lock:
             self._clear()
-            self.owner = True
+            self.leader = True
             self.term = term
-            self.token = token
+            self.fencing_token = fencing_token
             self.next_attempt = next_attempt
-            self.late_picture = late_picture or {}
-            now = self.owner_since = self.clock()
+            self.summarized_images = summarized_images or {}
+            now = self.leader_since = self.clock()
             self.verified_at = as_of
-            for record, stamp, progress in found:
-                self._load(record, stamp, now, progress)
+            for record, version, progress in found:
+                self._load(record, version, now, progress)
             self._load_restarts(moves)
             self.zone_records = zones
-            self.on_adopted()
-            self.inherited = bool(self.jobs or self.late_picture)
+            self.on_leadership_acquired()
+            self.recovered_predecessor = bool(self.jobs or self.summarized_images)
             self.complete = True
             log.info("owner of %d open jobs on %d machines", len(self.jobs), len(self.machines))
 
     def _load_restarts(self, moves: Mapping[str, Any]) -> None:
         for job_id, value in moves.items():
             if job_id not in self.jobs:
-                self.old_counts[job_id] = None
+                self.obsolete_counts[job_id] = None
                 continue
             try:
                 self.restarts.load(job_id, value)
             except UnreadableCountsError as bad:
                 log.error("%s; nothing of it is moved", bad)
 
-    def depose(self) -> None:
-        """No longer owner: drop every decision."""
+    def step_down(self) -> None:
+        """No longer leader: drop every decision."""
         with self.lock:
-            if self.owner:
+            if self.leader:
                 log.info("no longer owner")
             self._clear()
 
     def _load(
-        self, record: records.Record, stamp: int, now: float, progress: Progress | None = None
+        self, record: records.Record, version: int, now: float, progress: Progress | None = None
     ) -> Job | None:
         spec = record.spec
         if record.over and (progress is None or not progress.open):
             return None
-        team = self.teams_by.find(spec.team)
+        team = self.team_names.find(spec.team)
         if team is None:  # the settings lost a team: its tasks still count for nobody, say so
             log.error("job %s: team %s is not in the settings", spec.id, spec.team)
             return None
@@ -229,11 +235,11 @@
             self.images.index(spec.image),
             self.classes.index(spec.job_class),
             None if spec.zone is None else self.zones.index(spec.zone),
-            None if spec.types is None else frozenset(self.types_by.index(t) for t in spec.types),
+            None if spec.types is None else frozenset(self.type_names.index(t) for t in spec.types),
             now - (wall - record.created),
             record.created,
             set(progress.done) if progress is not None else set(),
-            stamp=stamp,
+            version=version,
         )
         if job.done or (progress is not None and progress.open):
             job.placed_at = now
@@ -243,42 +249,42 @@
             job.cancelled_at = now - max(0.0, wall - record.cancelled)
         self.jobs[spec.id] = job
         if spec.shape != SERVICE:
-            self.standing_classes.discard(spec.job_class)
-        for task, (attempt, name, session) in progress.open.items() if progress is not None else ():
+            self.service_classes.discard(spec.job_class)
+        for task, (attempt, name, epoch) in progress.open.items() if progress is not None else ():
             machine = self.machine_named(name, now)
-            place = self.new_placement(job, task, attempt, machine, session)
-            place.durable = True
-            self.book(job, machine, place)
-            if job.cancelled:  # the cancellation outlives the owner that saw it
-                self.halt(place, 0.0)
+            placement = self.make_placement(job, task, attempt, machine, epoch)
+            placement.durable = True
+            self.book(job, machine, placement)
+            if job.cancelled:  # the cancellation outlives the leader that saw it
+                self.stop(placement, 0.0)
         if not job.cancelled:
             job.waiting = [
                 t for t in range(spec.tasks - 1, -1, -1) if t not in job.done and t not in job.open
             ]
-        self.settle_job(job)
+        self.queue_completion(job)
         return job
 
-    def new_placement(self, job: Job, task: int, attempt: int, machine: Machine, session: int) -> Placement:
+    def make_placement(self, job: Job, task: int, attempt: int, machine: Machine, epoch: int) -> Placement:
         """A placement that is not booked yet."""
-        part = workers.task_name(job.spec.id, task)
-        return Placement(job, task, attempt, machine.index, session, part)
+        task_id = workers.task_name(job.spec.id, task)
+        return Placement(job, task, attempt, machine.index, epoch, task_id)
 
     def machine_named(self, name: str, now: float) -> Machine:
         """The machine of this name, a new one if nothing of it was known."""
-        index = self.machines_by.index(name)
+        index = self.machine_names.index(name)
         machine = self.machines.get(index)
         if machine is None:
-            machine = Machine(index, name, heard=now, rented=now, idle_since=now)
-            machine.images = {self.images.index(i): True for i in self.late_picture.get(name, ())}
+            machine = Machine(index, name, last_heartbeat_at=now, launched_at=now, idle_since=now)
+            machine.images = {self.images.index(i): True for i in self.summarized_images.get(name, ())}
             for image in machine.images:
-                self.room.holds(machine, image)
+                self.capacity_index.holds(machine, image)
             self.machines[index] = machine
             self.seen[index] = {}
         return machine
 
     def learn_type(self, machine: Machine, type_name: str) -> None:
         """Take in a machine's type, and with it its size, unless it is known already."""
-        index = self.types_by.index(type_name)
+        index = self.type_names.index(type_name)
         if machine.type is not None or index >= len(self.types):
             return
         kind = self.types[index]
@@ -289,35 +295,35 @@
         machine.free_cpus += kind.cpus  # what is booked already was subtracted from 0
         machine.free_gpus += kind.gpus
         machine.free_mem += kind.mem_gb
-        self.room.update(machine)
+        self.capacity_index.update(machine)
 
     def use_image(self, machine: Machine, job: Job, there: bool) -> None:
         """A task of the job is on the machine, and with `there` its image too. The machine keeps those that
-        were used last, so in our picture the ones used longest ago go when the cache is full."""
+        were used last, so in our snapshot the ones used longest ago go when the cache is full."""
         had = machine.images.pop(job.image, False)
         machine.images[job.image] = had or there
-        self.room.holds(machine, job.image)
+        self.capacity_index.holds(machine, job.image)
         self.image_gb[job.image] = job.spec.image_gb
         cache = self.types[machine.type].cache_gb if machine.type is not None else 0.0
         if had or not there or not cache:
             return
-        used = {place.job.image for place in machine.open.values()} | {job.image}
+        used = {placement.job.image for placement in machine.open.values()} | {job.image}
         left = sum(self.image_gb.get(image, 0.0) for image in machine.images) - cache
         for image in [i for i in machine.images if i not in used]:
             if left <= 0:
                 break
             del machine.images[image]
-            self.room.dropped(machine, image)
+            self.capacity_index.dropped(machine, image)
             left -= self.image_gb.get(image, 0.0)
 
-    def book(self, job: Job, machine: Machine, place: Placement) -> None:
+    def book(self, job: Job, machine: Machine, placement: Placement) -> None:
         """Count a placement: from now on until evidence closes it."""
-        job.open[place.task] = place
-        machine.open[place.key] = place
+        job.open[placement.task] = placement
+        machine.open[placement.key] = placement
         machine.idle_since = 0.0
-        machine.take(job.spec)
-        self.room.update(machine)
-        self.shares[job.team].take(job.spec)
+        machine.reserve(job.spec)
+        self.capacity_index.update(machine)
+        self.quotas[job.team].reserve(job.spec)
 
     def zone_of(self, machine: int) -> int | None:
         """Where a machine stands, None if that is not known yet."""
@@ -334,41 +340,42 @@
         """Expected run time of one task, corrected by what has been seen of the class."""
         if job.spec.shape == SERVICE:
             return SERVICE_RUN_S
-        return self.estimates.expected(job.job_class, job.spec.estimate_s)
+        return self.run_times.expected(job.job_class, job.spec.estimate_s)
 
     def due_s(self, job: Job) -> float | None:
         """How long after its acceptance the job should be done: its deadline, or its class's aim, if any."""
-        return job.spec.deadline_s or self.targets.get(job.spec.job_class)
+        return job.spec.deadline_s or self.completion_targets_s.get(job.spec.job_class)
 
     def touch(self, job: Job, task: int) -> None:
         """The task's state has changed and has to be written."""
         self.dirty.setdefault(job.spec.id, set()).add(task)
 
-    def unsettled(self, job_id: str, task: int) -> bool:
+    def is_uncommitted(self, job_id: str, task: int) -> bool:
         """Whether the last change of the task is not durable yet."""
-        flying = {} if self.flying is None else self.flying.tasks
-        return task in self.dirty.get(job_id, ()) or task in flying.get(job_id, ())
+        in_flight = {} if self.in_flight is None else self.in_flight.tasks
+        return task in self.dirty.get(job_id, ()) or task in in_flight.get(job_id, ())
 
     def drop_job(self, name: str) -> None:
-        """The job is over and closed in the ledger."""
-        for held in (self.jobs, self.dirty, self.ending, self.uncounted):
+        """The job is over and closed in the task log."""
+        for held in (self.jobs, self.dirty, self.pending_completions, self.uncounted_migrations):
             held.pop(name, None)
         if self.restarts.knows(name):
             self.restarts.forget(name)
-            self.old_counts[name] = None
+            self.obsolete_counts[name] = None
 
     def verified(self, as_of: float, term: int) -> None:
-        """A read sent at `as_of` showed the map of this term, and all cancellations till then are known."""
+        """A read sent at `as_of` showed the leadership record of this term, and all cancellations till then
+        are known."""
         with self.lock:
-            if self.owner and term == self.term:
+            if self.leader and term == self.term:
                 self.verified_at = max(self.verified_at, as_of)
 
-    def note_cancelled(self, cancelled: dict[str, float]) -> None:
+    def on_cancelled(self, cancelled: dict[str, float]) -> None:
         """Another controller has confirmed these cancellations, at these times of day; the state service may
-        be out of our reach. Final is final: to halt is right on any view, however old. A job that is not
+        be out of our reach. Final is final: to stop is right on any view, however old. A job that is not
         here yet starts only after a read that shows its cancellation too."""
         with self.lock:
-            if not self.owner or not self.complete:
+            if not self.leader or not self.complete:
                 return
             for name, wall_at in cancelled.items():
                 job = self.jobs.get(name)
@@ -381,73 +388,74 @@
         job.cancel_known = now
         job.cancelled_at = now - max(0.0, self.wall() - wall_at)
         job.waiting.clear()
-        job.resting.clear()
+        job.backing_off.clear()
         log.info("job %s cancelled, %d tasks to stop", job.spec.id, len(job.open))
-        for place in job.open.values():
-            self.halt(place, 0.0)
-        self.settle_job(job)
+        for placement in job.open.values():
+            self.stop(placement, 0.0)
+        self.queue_completion(job)
 
-    def halt(self, place: Placement, grace_s: float) -> None:
+    def stop(self, placement: Placement, grace_s: float) -> None:
         """Stop a task, by a direct command if its machine can be reached."""
-        place.halting, place.halt_grace = True, grace_s
-        self.halting[place] = None
-        self.on_halt(place.machine)
+        placement.stopping, placement.stop_grace_s = True, grace_s
+        self.stopping[placement] = None
+        self.on_stop_requested(placement.machine)
 
-    def settle_job(self, job: Job) -> None:
-        """If the job is over and on no machine, have it closed in the ledger; the mirror keeps its record."""
+    def queue_completion(self, job: Job) -> None:
+        """If the job is over and on no machine, have it closed in the task log; the watch cache keeps its
+        record."""
         if not job.open and (job.cancelled or job.finished):
-            self.ending[job.spec.id] = None
+            self.pending_completions[job.spec.id] = None
 
-    def on_row(self, record: records.Record, stamp: int) -> None:
+    def reconcile_job(self, record: records.Record, version: int) -> None:
         """A job's record changed in the store."""
         with self.lock:
-            if not self.owner or not self.complete:
+            if not self.leader or not self.complete:
                 return
             spec = record.spec
             job = self.jobs.get(spec.id)
             if job is None:
-                if not record.over and self._load(record, stamp, self.clock()) is not None:
+                if not record.over and self._load(record, version, self.clock()) is not None:
                     if spec.shape == SERVICE:
-                        self.standing_jobs.append((self.clock(), spec))
+                        self.recent_services.append((self.clock(), spec))
                     elif spec.priority >= URGENT:
                         self.urgent_jobs = self.urgent_jobs[-20:] + [(self.clock(), spec.cpus * spec.tasks)]
                     self.on_accepted(spec)
                     log.info("job %s accepted: %d tasks", spec.id, spec.tasks)
                 return
-            if stamp <= job.stamp:
+            if version <= job.version:
                 return
-            job.stamp = stamp
+            job.version = version
             if record.finished:
                 # Our own write, whose answer was lost: the rows beside it closed the job as well.
                 self.drop_job(spec.id)
             elif record.cancelled and not job.cancelled:
                 self._cancel(job, record.cancelled)
 
-    def close(self, machine: Machine, place: Placement, now: float) -> None:
-        """Only ever called on evidence: ended, a later session, cancelled and absent, machine deleted."""
-        job = place.job
-        del machine.open[place.key]
-        self.halting.pop(place, None)
-        if job.open.get(place.task) is place:
-            del job.open[place.task]
-        machine.give(job.spec)
-        self.room.update(machine)
-        self.shares[job.team].give(job.spec)
+    def close(self, machine: Machine, placement: Placement, now: float) -> None:
+        """Only ever called on evidence: ended, a later epoch, cancelled and absent, machine deleted."""
+        job = placement.job
+        del machine.open[placement.key]
+        self.stopping.pop(placement, None)
+        if job.open.get(placement.task) is placement:
+            del job.open[placement.task]
+        machine.release(job.spec)
+        self.capacity_index.update(machine)
+        self.quotas[job.team].release(job.spec)
         if not machine.open:
             machine.idle_since = now
-        self.touch(job, place.task)
+        self.touch(job, placement.task)
         if job.cancelled:
-            self.settle_job(job)
-        elif job.standing and place.running_since is not None:
-            job.down[place.task] = (now, now - machine.heard)
+            self.queue_completion(job)
+        elif job.is_service and placement.running_since is not None:
+            job.down_since[placement.task] = (now, now - machine.last_heartbeat_at)
 
     @property
     def quiet_s(self) -> float:
         """How long a machine may have been unheard for a replica, or moved work, to go there."""
-        return self.policy.standing_quiet * self.settings.facts.workers.report_s
+        return self.policy.service_quiet_heartbeats * self.settings.facts.workers.heartbeat_interval_s
 
     def staleness_limit(self) -> float:
-        """How old a controller's view may be for it to answer reports: owner or relay, both alike.
+        """How old a controller's view may be for it to answer reports: leader or relay, both alike.
 
         Its answers keep leases alive for `lease_s` more; a cancellation that was told elsewhere right after
         the read of which the view is must still see the tasks gone within `cancel_s`. What is left of
@@ -462,7 +470,7 @@
     def summary(self) -> list[tuple[str, float, list[str]]]:
         """What this controller tells the others now and then: name, load and images of its machines."""
         with self.lock:
-            if not self.owner:
+            if not self.leader:
                 return []
             return [
                 (
@@ -471,30 +479,30 @@
                     [self.images[i] for i, there in m.images.items() if there],
                 )
                 for m in self.machines.values()
-                if m.reported and not m.deleting
+                if m.registered and not m.deleting
             ]
 
     def set_types(self, types: list[MachineType]) -> None:
         """The catalog, as the cloud gave it; prices move, so this comes again and again."""
         with self.lock:
             for kind in types:
-                self.types_by.index(kind.name)
+                self.type_names.index(kind.name)
             table = {kind.name: kind for kind in types}
             kept = {t.name: t for t in self.types}
-            for name in self.types_by.names:
+            for name in self.type_names.names:
                 if name in kept and name not in table:
                     table[name] = kept[name]
             # A name that a job alone brought up has no row; types[] must follow types_by exactly.
-            ordered = []
-            for name in self.types_by.names:
+            sent_commands = []
+            for name in self.type_names.names:
                 unknown = MachineType(name, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0, ())
-                ordered.append(table.get(name, unknown))
-            self.types = ordered
+                sent_commands.append(table.get(name, unknown))
+            self.types = sent_commands
 
-    def team_share(self, team: str) -> Share | None:
+    def team_quota(self, team: str) -> TeamQuota | None:
         """The guarantee and limit of a team, None for an unknown one."""
-        index = self.teams_by.find(team)
-        return None if index is None else self.shares[index]
+        index = self.team_names.find(team)
+        return None if index is None else self.quotas[index]
 
     def catalog(self) -> list[MachineType]:
         """The types that the cloud has, empty before the first catalog."""
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -1,4 +1,4 @@
-"""Load spread in the owner's rounds: tasks are placed by cost, and running ones leave overloaded machines.
+"""Load spread in the leader's rounds: tasks are placed by cost, and running ones leave overloaded machines.
 
 The decisions are those of the `spread` package; this shows them the fleet and carries them out. What it says
 in the log, and every setting, is on the page docs/load-spread.md.
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 
 from bayford.coordination.leader.balancer import Balancer
-from bayford.coordination.leader.commit_batch import Relocation
-from bayford.coordination.leader.leader_state import Key, OwnerState
-from bayford.coordination.leader.migrator import Mover
+from bayford.coordination.leader.commit_batch import Migration
+from bayford.coordination.leader.leader_state import AttemptKey, LeaderState
+from bayford.coordination.leader.migrator import Migrator
 from bayford.protocol import workers
 from bayford.scheduling import tempered
 from bayford.scheduling.model import ARRAY, Job, Machine, Placement
-from bayford.spread.machine_snapshot import MachinePicture, picture
+from bayford.spread.machine_snapshot import MachineSnapshot, picture
 from bayford.spread.rebalance import Rebalancing, rebalance
 from bayford.spread.score import Choice, Chooser, Weights, describe
 
@@ -24,12 +24,12 @@
 
 
 class LoadSpreader:
-    """Placement and rebalancing by load. Called under the lock of the owner's state."""
+    """Placement and rebalancing by load. Called under the lock of the leader's state."""
 
-    def __init__(self, state: OwnerState, balancer: Balancer, mover: Mover) -> None:
+    def __init__(self, state: LeaderState, balancer: Balancer, migrator: Migrator) -> None:
         self._state = state
         self._balancer = balancer
-        self._mover = mover
+        self._migrator = migrator
         policy = state.policy
         self._weights = Weights(policy.spread_fetch_weight, policy.spread_load_s, policy.spread_affinity_s)
         self._unknown_types: set[int] = set()  # machines that the log has named already
@@ -40,7 +40,7 @@
         """A chooser for up to `count` tasks of the job."""
         state = self._state
         most = max(count, state.policy.spread_candidates)
-        candidates = state.room.least_loaded(job, most, may_take)
+        candidates = state.capacity_index.least_loaded(job, most, may_take)
         average = self._average()
         return Chooser(job, candidates, average, self._weights, lambda machine: state.fetch_s(job, machine))
 
@@ -63,8 +63,12 @@
                 cost = choice.cost
                 log.debug(
                     "job %s to %s: fetch %.1f s, load %.1f s, affinity %.2f s",
-                    job.spec.id, choice.machine.name, cost.fetch_s, cost.load_s, cost.affinity_s,
-                )  # fmt: skip
+                    job.spec.id,
+                    choice.machine.name,
+                    cost.fetch_s,
+                    cost.load_s,
+                    cost.affinity_s,
+                )
 
     # -- rebalancing -----------------------------------------------------------------------------------
 
@@ -79,30 +83,30 @@
         if not policy.spread or now < state.spread_at:
             return
         state.spread_at = now + policy.spread_every_s
-        if work_waits or state.halting or state.uncounted:
+        if work_waits or state.stopping or state.uncounted_migrations:
             return
         known = {found.index: found for found in self._known(now)}
         hosts = [self._host(found, now) for found in known.values()]
         running = sum(len(job.open) for job in state.jobs.values())
         counts = tempered.Counts(
             policy.balance_trials, policy.balance_iterations, tempered.budget(running, policy.balance_share)
-        )  # fmt: skip
+        )
 
-        def allowed(key: Key, target: int) -> bool:
+        def allowed(key: AttemptKey, target: int) -> bool:
             return self._allowed(key, target, now)
 
         plan = rebalance(hosts, policy.spread_threshold, counts, allowed, state.rng)
         if plan is not None:
             self._carry_out(plan, known, now)
 
-    def _known(self, now: float) -> list[MachinePicture]:
+    def _known(self, now: float) -> list[MachineSnapshot]:
         """The machines between which this round moves work: answering ones, by facts that are not old."""
         state = self._state
         found = []
         for machine in state.machines.values():
-            if machine.reported and machine.type is None:
+            if machine.registered and machine.type is None:
                 self._log_unknown_type(machine)
-            elif machine.kept_until <= now and picture(machine, now).accepts(state.quiet_s):
+            elif machine.reserved_until <= now and picture(machine, now).accepts(state.quiet_s):
                 found.append(machine)
         return [picture(machine, now) for machine in self._balancer.known(found)]
 
@@ -111,63 +115,76 @@
             self._unknown_types.add(machine.index)
             log.error("machine %s: its type is not in the catalog; it takes no part in moves", machine.name)
 
-    def _host(self, found: MachinePicture, now: float) -> tempered.Host:
+    def _host(self, found: MachineSnapshot, now: float) -> tempered.Host:
         items = [
-            tempered.Item(place.key, (place.job.spec.cpus, place.job.spec.gpus, place.job.spec.mem_gb))
-            for place in self._state.machines[found.index].open.values()
-            if self._movable(place, now)
+            tempered.Item(
+                placement.key, (placement.job.spec.cpus, placement.job.spec.gpus, placement.job.spec.mem_gb)
+            )
+            for placement in self._state.machines[found.index].open.values()
+            if self._movable(placement, now)
         ]
         return tempered.Host(found.index, found.cpus, found.free, items)
 
-    def _movable(self, place: Placement, now: float) -> bool:
+    def _movable(self, placement: Placement, now: float) -> bool:
         """Whether the task may be moved for balance alone: no service, no part of a gang; nothing that would
         lose its work unless its class allows that; nothing that came lately, as a task just moved did."""
-        job = place.job
+        job = placement.job
         spec = job.spec
         policy = self._state.policy
-        if spec.shape != ARRAY or place.running_since is None or place.halting or place.unpreemptable:
+        if (
+            spec.shape != ARRAY
+            or placement.running_since is None
+            or placement.stopping
+            or placement.unpreemptable
+        ):
             return False
-        if spec.checkpoint_s <= 0 and spec.job_class not in policy.spread_lossy:
+        if spec.checkpoint_interval_s <= 0 and spec.job_class not in policy.spread_lossy:
             return False
-        return now - place.running_since >= policy.spread_rest_s
+        return now - placement.running_since >= policy.spread_rest_s
 
-    def _allowed(self, key: Key, target: int, now: float) -> bool:
+    def _allowed(self, key: AttemptKey, target: int, now: float) -> bool:
         """Whether the task may go to the target, and has long enough to run that it pays."""
         state = self._state
         job_id, task = workers.split_task(key[0]) or ("", 0)
         job = state.jobs[job_id]
-        place = job.open[task]
+        placement = job.open[task]
         machine = state.machines[target]
-        since = now if place.running_since is None else place.running_since
+        since = now if placement.running_since is None else placement.running_since
         left_s = state.expected(job) - (now - since)
         fetch_s = 0.0 if machine.images.get(job.image) else state.fetch_s(job, machine)
-        lost_s = 0.0 if job.spec.checkpoint_s > 0 else now - since
-        pays = left_s > WORTH_IT * (job.spec.save_s + fetch_s + lost_s)
+        lost_s = 0.0 if job.spec.checkpoint_interval_s > 0 else now - since
+        pays = left_s > WORTH_IT * (job.spec.checkpoint_save_s + fetch_s + lost_s)
         return pays and self._balancer.may_move(key, target)
 
-    def _carry_out(self, plan: Rebalancing, known: dict[int, MachinePicture], now: float) -> None:
+    def _carry_out(self, plan: Rebalancing, known: dict[int, MachineSnapshot], now: float) -> None:
         """Begin the plan's moves. The room of a target is kept for one job, so that nobody else takes it
         while the task saves; moves of a second job there are left to the next round."""
         state = self._state
-        by_target: dict[int, list[Relocation]] = {}
+        by_target: dict[int, list[Migration]] = {}
         for relocation in plan.relocations:
-            place = state.machines[relocation.source].open[relocation.key]
+            placement = state.machines[relocation.source].open[relocation.key]
             moves = by_target.setdefault(relocation.target, [])
-            if not moves or moves[0].place.job is place.job:
-                moves.append(Relocation(place, relocation.target, now))
+            if not moves or moves[0].placement.job is placement.job:
+                moves.append(Migration(placement, relocation.target, now))
         for target, moves in by_target.items():
-            self._mover.keep_room(target, moves[0].place.job, [move.place for move in moves])
+            self._migrator.keep_room(target, moves[0].placement.job, [move.placement for move in moves])
             for move in moves:
                 self._log_move(move, plan, known)
-            self._mover.move(moves)
+            self._migrator.move(moves)
 
-    def _log_move(self, move: Relocation, plan: Rebalancing, known: dict[int, MachinePicture]) -> None:
+    def _log_move(self, move: Migration, plan: Rebalancing, known: dict[int, MachineSnapshot]) -> None:
         state = self._state
-        job = move.place.job
-        used = state.restarts.used(job.spec.id, move.place.task)
+        job = move.placement.job
+        used = state.restarts.used(job.spec.id, move.placement.task)
         log.info(
             "moving %s from %s (%s) to %s (%s): imbalance %.2f, then %.2f; restart %d of %d",
-            move.place.part, state.machines_by[move.place.machine], known[move.place.machine].describe(),
-            state.machines_by[move.target], known[move.target].describe(), plan.before, plan.after,
-            used + 1, state.restarts.limit(job.spec.job_class),
-        )  # fmt: skip
+            move.placement.task_id,
+            state.machine_names[move.placement.machine],
+            known[move.placement.machine].describe(),
+            state.machine_names[move.target],
+            known[move.target].describe(),
+            plan.before,
+            plan.after,
+            used + 1,
+            state.restarts.limit(job.spec.job_class),
+        )
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -1,27 +1,27 @@
 """Moves of running tasks: stops with a hint where to go on.
 
 With load spread on, a move is counted against the restart budget of its task's class before the task is
-stopped, and the count is durable first, so that no owner after this one allows more.
+stopped, and the count is durable first, so that no leader after this one allows more.
 """
 
 import logging
 from collections.abc import Sequence
 
-from bayford.coordination.leader.commit_batch import Relocation
-from bayford.coordination.leader.leader_state import ROOM_KEPT_S, OwnerState
+from bayford.coordination.leader.commit_batch import Migration
+from bayford.coordination.leader.leader_state import ROOM_KEPT_S, LeaderState
 from bayford.scheduling.model import Job, Placement
 
 log = logging.getLogger("bayford.engine")
 
-FORGET_S = 5.0  # a move whose count became durable later than this is not begun: the picture has changed
+FORGET_S = 5.0  # a move whose count became durable later than this is not begun: the snapshot has changed
 
 
-class Mover:
-    """Begins moves. Called under the lock of the owner's state."""
+class Migrator:
+    """Begins moves. Called under the lock of the leader's state."""
 
-    def __init__(self, state: OwnerState) -> None:
+    def __init__(self, state: LeaderState) -> None:
         self._state = state
-        state.on_moves_counted = self.begin
+        state.on_migrations_counted = self.begin
 
     def allows(self, job: Job, task: int) -> bool:
         """Whether the task may be restarted by a move once more."""
@@ -29,37 +29,37 @@
             job.spec.id, job.spec.job_class, task
         )
 
-    def move(self, moves: Sequence[Relocation]) -> None:
+    def move(self, moves: Sequence[Migration]) -> None:
         """Have tasks go on elsewhere, at once or when their counts are durable."""
         state = self._state
         if not state.policy.spread:
             self.begin(moves)
             return
         for move in moves:
-            job = move.place.job
-            state.restarts.note(job.spec.id, move.place.task)
-            state.uncounted.setdefault(job.spec.id, []).append(move)
+            job = move.placement.job
+            state.restarts.note(job.spec.id, move.placement.task)
+            state.uncounted_migrations.setdefault(job.spec.id, []).append(move)
 
-    def begin(self, moves: Sequence[Relocation]) -> None:
+    def begin(self, moves: Sequence[Migration]) -> None:
         """Stop the tasks, as far as the moves still make sense."""
         for move in moves:
             why_not = self._obstacle(move)
             if why_not:
-                log.info("%s is not moved: %s", move.place.part, why_not)
+                log.info("%s is not moved: %s", move.placement.task_id, why_not)
                 continue
-            job = move.place.job
-            job.hints[move.place.task] = move.target
-            saves = job.spec.checkpoint_s > 0
-            self._state.halt(move.place, job.spec.save_grace_s if saves else 0.0)
+            job = move.placement.job
+            job.hints[move.placement.task] = move.target
+            saves = job.spec.checkpoint_interval_s > 0
+            self._state.stop(move.placement, job.spec.checkpoint_grace_s if saves else 0.0)
             self._state.moves += 1
 
-    def _obstacle(self, move: Relocation) -> str:
+    def _obstacle(self, move: Migration) -> str:
         """Why the move can't begin any more, empty if it can."""
         state = self._state
-        place = move.place
-        if place.job.open.get(place.task) is not place:
+        placement = move.placement
+        if placement.job.open.get(placement.task) is not placement:
             return "it has ended or its machine is gone"
-        if place.halting or place.job.cancelled:
+        if placement.stopping or placement.job.cancelled:
             return "it is being stopped"
         target = state.machines.get(move.target)
         if target is None or not target.usable:
@@ -71,5 +71,5 @@
     def keep_room(self, index: int, job: Job, moved: Sequence[Placement]) -> None:
         """Keep a machine's room for a job while these tasks save."""
         machine = self._state.machines[index]
-        saving = max((place.job.spec.save_s for place in moved), default=0.0)
-        machine.kept_for, machine.kept_until = job.spec.id, self._state.clock() + ROOM_KEPT_S + saving
+        saving = max((placement.job.spec.checkpoint_save_s for placement in moved), default=0.0)
+        machine.reserved_for, machine.reserved_until = job.spec.id, self._state.clock() + ROOM_KEPT_S + saving
--- a/bayford/coordination/leader/run_time_estimator.py
+++ b/bayford/coordination/leader/run_time_estimator.py
@@ -1,13 +1,13 @@
 """Run times as seen: `guess_s` is an estimate that each class's finished tasks correct."""
 
 
-class Estimates:
+class RunTimeEstimator:
     """Ratio of true to guessed run time per class, a decaying mean."""
 
     def __init__(self) -> None:
         self._ratio: dict[int, tuple[float, float]] = {}  # class -> weight, ratio
 
-    def ended(self, job_class: int, guess_s: float, ran_s: float) -> None:
+    def observe(self, job_class: int, guess_s: float, ran_s: float) -> None:
         """A task of the class ran `ran_s`."""
         if guess_s > 0:
             weight, ratio = self._ratio.get(job_class, (2.0, 1.0))
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -1,13 +1,13 @@
-"""The owner's engine: all decisions over its jobs and machines, in memory, without I/O.
+"""The leader's engine: all decisions over its jobs and machines, in memory, without I/O.
 
 Everything runs under one short lock, that of `owner_state`. Threads in `controller` carry the results out:
-the group commit writes what `take_batch` hands over, the cloud threads do what `fleet_step` asks, and answers
-to reports carry what `orders_for` lists. The safety argument is in docs/architecture.md; the rules that it
-rests on are stated where the code keeps them.
+the group commit writes what `take_batch` hands over, the cloud threads do what `scaling_step` asks, and
+answers to heartbeats carry what `commands_for` lists. The safety argument is in docs/architecture.md; the
+rules that it rests on are stated where the code keeps them.
 
-The engine is put together of parts, each given the owner's state: `group_commit` (what is written),
+the scheduler is put together of parts, each given the leader's state: `group_commit` (what is written),
 `worker_reports`, `scheduling_round` (placement, preemption, the balancer), `autoscaler` (machines) and
-`zone_watch`. No part calls another, but for the autoscaler, which is given the order of service.
+`zone_monitor`. No part calls another, but for the autoscaler, which is given the order of service.
 """
 
 import random
@@ -16,22 +16,22 @@
 
 from bayford.config import Settings
 from bayford.coordination.leader import workload
-from bayford.coordination.leader.admission_control import WorkFacts
+from bayford.coordination.leader.admission_control import WorkloadFacts
 from bayford.coordination.leader.autoscaler import Autoscaler
 from bayford.coordination.leader.group_commit import GroupCommit
-from bayford.coordination.leader.heartbeat_handler import WorkerReports
-from bayford.coordination.leader.leader_state import OwnerState
+from bayford.coordination.leader.heartbeat_handler import HeartbeatHandler
+from bayford.coordination.leader.leader_state import LeaderState
 from bayford.coordination.leader.scheduling_round import SchedulingRound
-from bayford.coordination.leader.zone_monitor import ZoneWatch
-from bayford.coordination.store_limits import Limits
-from bayford.recovery.zone_health import OwnerFacts
+from bayford.coordination.leader.zone_monitor import ZoneMonitor
+from bayford.coordination.store_limits import StoreLimits
+from bayford.recovery.zone_health import LeadershipFacts
 from bayford.scheduling.model import JobSpec, MachineType
 from bayford.scheduling.policy import Policy
 from bayford.storage.key_value_store import Put
-from bayford.storage.task_log import Ledger
+from bayford.storage.task_log import TaskLog
 
 
-class Engine:
+class Scheduler:
     """All jobs and machines of this controller while it owns them."""
 
     def __init__(
@@ -42,59 +42,59 @@
         wall: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        self.state = OwnerState(settings, policy, clock, wall, rng)
+        self.state = LeaderState(settings, policy, clock, wall, rng)
         self.commits = GroupCommit(self.state)
-        self.reports = WorkerReports(self.state)
+        self.heartbeats = HeartbeatHandler(self.state)
         self.scheduling = SchedulingRound(self.state)
         self.autoscaler = Autoscaler(self.state, self.scheduling)
-        self.zone_watch = ZoneWatch(self.state)
+        self.zone_monitor = ZoneMonitor(self.state)
         # What the controller calls, part by part.
-        self.adopt = self.state.adopt
-        self.depose = self.state.depose
+        self.recover = self.state.recover
+        self.step_down = self.state.step_down
         self.verified = self.state.verified
-        self.on_row = self.state.on_row
-        self.note_cancelled = self.state.note_cancelled
+        self.reconcile_job = self.state.reconcile_job
+        self.on_cancelled = self.state.on_cancelled
         self.staleness_limit = self.state.staleness_limit
         self.summary = self.state.summary
         self.set_types = self.state.set_types
         self.catalog = self.state.catalog
-        self.team_share = self.state.team_share
-        self.has_news = self.commits.has_news
-        self.endings = self.commits.endings
+        self.team_quota = self.state.team_quota
+        self.has_pending_writes = self.commits.has_pending_writes
+        self.pending_completion_count = self.commits.pending_completion_count
         self.take_batch = self.commits.take_batch
         self.committed = self.commits.committed
         self.not_committed = self.commits.not_committed
-        self.on_report = self.reports.on_report
-        self.worker_contact = self.reports.worker_contact
-        self.answered = self.reports.answered
-        self.orders_for = self.reports.orders_for
-        self.halts_for = self.reports.halts_for
-        self.hold_s = self.reports.hold_s
+        self.on_heartbeat = self.heartbeats.on_heartbeat
+        self.worker_contact = self.heartbeats.worker_contact
+        self.on_answered = self.heartbeats.on_answered
+        self.commands_for = self.heartbeats.commands_for
+        self.stop_commands_for = self.heartbeats.stop_commands_for
+        self.hold_s = self.heartbeats.hold_s
         self.round = self.scheduling.round
         self.waiting = self.scheduling.waiting
         self.on_list = self.autoscaler.on_list
-        self.fleet_step = self.autoscaler.fleet_step
+        self.scaling_step = self.autoscaler.scaling_step
         self.overdue_step = self.autoscaler.overdue_step
         self.overdue = self.autoscaler.overdue
-        self.rented = self.autoscaler.rented
-        self.not_rented = self.autoscaler.not_rented
+        self.on_launched = self.autoscaler.on_launched
+        self.on_launch_failed = self.autoscaler.on_launch_failed
         self.deleted = self.autoscaler.deleted
         self.not_deleted = self.autoscaler.not_deleted
 
     def connect(
         self,
-        with_ledger: Callable[[Callable[[Ledger], Any]], Any],
+        with_task_log: Callable[[Callable[[TaskLog], Any]], Any],
         on_ready: Callable[[int], None],
-        on_halt: Callable[[int], None],
-        on_gone: Callable[[int], None],
+        on_stop_requested: Callable[[int], None],
+        on_machine_deleted: Callable[[int], None],
         on_accepted: Callable[[JobSpec], None],
     ) -> None:
-        """Whom to call: for something short on the mirror's ledger, and under the lock when a machine has
-        orders, has tasks to stop or is gone, and when a job was accepted."""
-        self.state.with_ledger = with_ledger
+        """Whom to call: for something short on the watch cache's task log, and under the lock when a machine
+        has orders, has tasks to stop or is gone, and when a job was accepted."""
+        self.state.with_task_log = with_task_log
         self.state.on_ready = on_ready
-        self.state.on_halt = on_halt
-        self.state.on_gone = on_gone
+        self.state.on_stop_requested = on_stop_requested
+        self.state.on_machine_deleted = on_machine_deleted
         self.state.on_accepted = on_accepted
 
     @property
@@ -103,14 +103,14 @@
         return self.state.policy
 
     @property
-    def limits(self) -> Limits:
+    def limits(self) -> StoreLimits:
         """What the state service takes."""
         return self.state.limits
 
     @property
-    def owner(self) -> bool:
-        """Whether this controller is the owner, as far as it knows."""
-        return self.state.owner
+    def leader(self) -> bool:
+        """Whether this controller is the leader, as far as it knows."""
+        return self.state.leader
 
     @property
     def complete(self) -> bool:
@@ -119,17 +119,17 @@
 
     @property
     def term(self) -> int:
-        """The stamp of the map that made this controller owner."""
+        """The version of the leadership record that made this controller leader."""
         return self.state.term
 
     @property
-    def owner_since(self) -> float:
+    def leader_since(self) -> float:
         """When the term began, on the steady clock."""
-        return self.state.owner_since
+        return self.state.leader_since
 
     @property
     def verified_at(self) -> float:
-        """The sending of the last read that showed the map of this term."""
+        """The sending of the last read that showed the leadership record of this term."""
         return self.state.verified_at
 
     @property
@@ -137,18 +137,18 @@
         """The machine types known so far."""
         return self.state.types
 
-    def work_facts(self) -> WorkFacts:
+    def workload_facts(self) -> WorkloadFacts:
         """What admission has to know of the accepted work."""
         return workload.gather(self.state)
 
-    def watch_zones(self, owner: OwnerFacts, controllers: Mapping[str, str]) -> list[Put]:
+    def monitor_zones(self, leader: LeadershipFacts, controllers: Mapping[str, str]) -> list[Put]:
         """Take the state of the zones in; the records to write now. `controllers`: who of each zone is in
         reach, in words."""
         with self.state.lock:
-            self.zone_watch.look(owner, controllers)
-            return self.zone_watch.puts()
+            self.zone_monitor.update(leader, controllers)
+            return self.zone_monitor.puts()
 
     def zones_not_written(self, puts: list[Put]) -> None:
         """Records of zones that were refused, or of which nobody knows."""
         with self.state.lock:
-            self.zone_watch.not_written(puts)
+            self.zone_monitor.not_written(puts)
--- a/bayford/coordination/leader/scheduling_round.py
+++ b/bayford/coordination/leader/scheduling_round.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 from bayford.coordination.leader.balancer import Balancer
-from bayford.coordination.leader.leader_state import OwnerState
+from bayford.coordination.leader.leader_state import LeaderState
 from bayford.coordination.leader.load_spreader import LoadSpreader
-from bayford.coordination.leader.migrator import Mover
+from bayford.coordination.leader.migrator import Migrator
 from bayford.coordination.leader.preemptor import Preemptor
 from bayford.recovery import return_order
 from bayford.scheduling import placement_rules
@@ -31,22 +31,22 @@
 
 
 class SchedulingRound:
-    """One round over the queue of waiting work. Takes the lock of the owner's state by itself."""
+    """One round over the queue of waiting work. Takes the lock of the leader's state by itself."""
 
-    def __init__(self, state: OwnerState) -> None:
+    def __init__(self, state: LeaderState) -> None:
         self._state = state
         self.preemptor = Preemptor(state)
-        self.mover = Mover(state)
-        self.balancer = Balancer(state, self.mover)
-        self.spreader = LoadSpreader(state, self.balancer, self.mover)
+        self.migrator = Migrator(state)
+        self.balancer = Balancer(state, self.migrator)
+        self.spreader = LoadSpreader(state, self.balancer, self.migrator)
 
     def round(self) -> None:
         """Place what waits, then make room for what may push others out."""
         with self._state.lock:
-            if not self._state.owner or not self._state.complete:
+            if not self._state.leader or not self._state.complete:
                 return
             now = self._state.clock()
-            for machine in self._state.noticed.values():
+            for machine in self._state.reclaim_pending.values():
                 self._drain(machine, now)
             queue = self.queue(now)
             self.preemptor.make_room_under_limits(now)
@@ -69,27 +69,27 @@
         """
         if self._state.returning_zones:
             queue = self._place_returning(queue, now)
-        local = self._spread_images(now) if self._state.room else frozenset()
+        local = self._spread_images(now) if self._state.capacity_index else frozenset()
         passed: list[tuple[Job, int]] = []
         for entry in queue:
             job, count = entry.job, entry.count
-            if not self._state.room:
+            if not self._state.capacity_index:
                 job.why_waiting = NO_ROOM
                 continue
             # Where load is spread, the cost of a fetch decides against the load instead.
-            picky = (
+            back_off = (
                 not self._state.policy.spread
                 and job.image in local
                 and job.spec.priority < URGENT
                 and job.spec.shape != GANG
             )
             before = len(job.waiting)
-            self._place(job, count, now, with_image_only=picky)
+            self._place(job, count, now, with_image_only=back_off)
             count -= before - len(job.waiting)
-            if picky and count > 0 and job.waiting:
+            if back_off and count > 0 and job.waiting:
                 passed.append((job, count))
         for job, count in passed:
-            if not self._state.room:
+            if not self._state.capacity_index:
                 break
             self._place(job, count, now)
 
@@ -102,7 +102,7 @@
         left = {}
         for entry in sorted(queue, key=lambda entry: return_order.rank(entry.job, order)):
             before = len(entry.job.waiting)
-            if before and self._state.room:
+            if before and self._state.capacity_index:
                 self._place(entry.job, entry.count, now, returning=True)
             left[entry.order, entry.job.spec.id] = entry.count - (before - len(entry.job.waiting))
         counted = [dataclasses.replace(e, count=left[e.order, e.job.spec.id]) for e in queue]
@@ -135,14 +135,14 @@
         tasks at least every `turn_s` and the time until room is next given back.
         """
         out: list[QueueEntry] = []
-        entitled = self._entitled()
+        within_guarantee = self._within_guarantee()
         for job in self._state.jobs.values():
-            if job.resting:
-                job.wake(now)
+            if job.backing_off:
+                job.requeue_backed_off(now)
             if not job.waiting or job.cancelled or job.not_before > now:
                 continue
-            share = self._state.shares[job.team]
-            room = share.room(job.spec)
+            share = self._state.quotas[job.team]
+            room = share.headroom(job.spec)
             if job.spec.shape == GANG and (job.open or room < len(job.waiting)):
                 room = 0  # all together or not at all
             if room <= 0:
@@ -158,12 +158,12 @@
                 order: tuple[float, ...] = (0.0, 0.0, -float(job.spec.priority), self._rank(job, run, age))
                 out.append(QueueEntry(order, job, count))
                 continue
-            owed = min(count, share.owed(job.spec))
-            if owed and age > self._state.policy.guarantee_wait_s:
-                out.append(QueueEntry((1.0, 0.0, 0.0, -age), job, owed))
+            unmet_guarantee = min(count, share.unmet_guarantee(job.spec))
+            if unmet_guarantee and age > self._state.policy.guarantee_wait_s:
+                out.append(QueueEntry((1.0, 0.0, 0.0, -age), job, unmet_guarantee))
             guaranteed = 1.0
-            if self._state.policy.guarantee_first and owed:
-                guaranteed = 0.0 if job.spec.id in entitled else 0.5
+            if self._state.policy.guarantee_first and unmet_guarantee:
+                guaranteed = 0.0 if job.spec.id in within_guarantee else 0.5
             # Where the users have no aim for single jobs, the longest tasks go first: begun last, they would
             # run on alone when all else is through.
             aimless = self._state.due_s(job) is None
@@ -173,10 +173,10 @@
         out.sort(key=lambda entry: entry.order)
         return out
 
-    def _entitled(self) -> set[str]:
+    def _within_guarantee(self) -> set[str]:
         """The jobs that need not wait for other teams: each fits into its team's guarantee together with the
         team's earlier unfinished jobs. Others of a team that uses less than that are served after them."""
-        left = [(share.cpus, share.gpus) for share in self._state.shares]
+        left = [(share.cpus, share.gpus) for share in self._state.quotas]
         out = set()
         for job in sorted(self._state.jobs.values(), key=lambda j: j.created):
             spec = job.spec
@@ -189,7 +189,7 @@
     def waiting(self, most: int = 5) -> list[str]:
         """For the log: the oldest waiting jobs and why they wait, and how the whole stands."""
         with self._state.lock:
-            if not self._state.owner:
+            if not self._state.leader:
                 return []
             now = self._state.clock()
             queue = sorted((j for j in self._state.jobs.values() if j.waiting), key=lambda j: j.created)
@@ -201,7 +201,7 @@
                     f"{now - job.created:.0f} s: {why or 'its turn has not come'}"
                 )
             running = sum(len(m.open) for m in self._state.machines.values())
-            reporting = sum(m.reported for m in self._state.machines.values())
+            reporting = sum(m.registered for m in self._state.machines.values())
             state = self._state
             lines.append(
                 f"{len(queue)} jobs wait, {running} tasks placed on {len(state.machines)} machines "
@@ -214,7 +214,7 @@
     def _rank(self, job: Job, run: float, age: float) -> float:
         """Work left, shrinking with age: small jobs first, yet none for ever last. Of services the one that
         lacks the fewest replicas."""
-        if job.standing:
+        if job.is_service:
             return len(job.waiting) / (1.0 + age / self._state.policy.aging_s)
         left = (len(job.waiting) + 0.5 * len(job.open)) * run * max(job.spec.cpus, 0.1)
         return left / (1.0 + age / self._state.policy.aging_s)
@@ -226,32 +226,35 @@
         `returning`: on those of zones that return, else on those of all others."""
         zoned = job.spec.one_zone or job.spec.spread
         if zoned and any(self._state.zone_of(p.machine) is None for p in job.open.values()):
-            # After a takeover a machine with tasks of the job may not have been heard yet: where it
+            # After a failover a machine with tasks of the job may not have been heard yet: where it
             # stands is unknown, so the zone rules can't be checked.
             job.why_waiting = "zone of a running task unknown"
             return
         counts = placement_rules.zones_open(job, self._state.zone_of) if zoned else {}
-        # The cheap machines alone are in time: let the dear ones run empty and go back.
+        # The spot machines alone are in time: let the on-demand ones run empty and go back.
         cheap_only = (
-            not self._state.dear_serves and job.spec.priority < URGENT and job.spec.spot and job.cheap_hosts
+            not self._state.on_demand_needed
+            and job.spec.priority < URGENT
+            and job.spec.spot
+            and job.spot_hosts
         )
 
         def open_to_job(machine: Machine) -> bool:
             return (
                 placement_rules.eligible(job, machine, counts, now)
-                and (not cheap_only or machine.spot or machine.index in self._state.standing)
+                and (not cheap_only or machine.spot or machine.index in self._state.service_machines)
                 and self._zone_open(job, machine, returning)
             )
 
         def may_take(machine: Machine) -> bool:
             return open_to_job(machine) and (not with_image_only or job.image in machine.images)
 
-        roomy = self._state.room.machines
+        roomy = self._state.capacity_index.machines
         if job.spec.shape == GANG:
             self._place_gang(job, [m for m in roomy.values() if may_take(m)], now)
-        elif job.standing:
+        elif job.is_service:
             self._place_service(
-                job, count, [m for m in self._state.room.machines.values() if may_take(m)], now
+                job, count, [m for m in self._state.capacity_index.machines.values() if may_take(m)], now
             )
         elif zoned:
             self._place_zoned(job, count, [m for m in roomy.values() if may_take(m)], now)
@@ -272,14 +275,14 @@
         self, job: Job, count: int, may_take: Callable[[Machine], bool], with_image_only: bool, now: float
     ) -> None:
         """Tasks that go anywhere: as many machines as there are tasks are enough to choose from."""
-        share = self._state.shares[job.team]
-        wanted = min(count, len(job.waiting), share.room(job.spec))
+        share = self._state.quotas[job.team]
+        wanted = min(count, len(job.waiting), share.headroom(job.spec))
         if wanted <= 0:
             return
         if self._state.policy.spread:
             self._place_by_cost(job, wanted, may_take, now)
             return
-        machines = self._state.room.best(job, wanted, may_take, with_image_only)
+        machines = self._state.capacity_index.best(job, wanted, may_take, with_image_only)
         starved = self._is_starved(job, now)
         placed = 0
         while placed < wanted:
@@ -322,7 +325,7 @@
     def _place_zoned(self, job: Job, count: int, machines: list[Machine], now: float) -> None:
         """Tasks of an array that is bound together or apart: each placement changes which zones are open."""
         machines = placement_rules.ranked(job, machines)
-        share = self._state.shares[job.team]
+        share = self._state.quotas[job.team]
         starved = self._is_starved(job, now)
         while job.waiting and count > 0 and share.allows(job.spec):
             counts = placement_rules.zones_open(job, self._state.zone_of)
@@ -340,7 +343,7 @@
         """Replicas one by one, since each changes which machine is best for the next."""
         quiet = self._state.quiet_s
         machines = [m for m in machines if placement_rules.steady(m, now, quiet)]
-        share = self._state.shares[job.team]
+        share = self._state.quotas[job.team]
         while job.waiting and count > 0 and share.allows(job.spec):
             zones = placement_rules.zones_open(job, self._state.zone_of)
             fit = [
@@ -376,16 +379,16 @@
         if attempt is None:
             attempt = self._state.next_attempt
         self._state.next_attempt = max(self._state.next_attempt, attempt + 1)
-        place = self._state.new_placement(job, task, attempt, machine, machine.session)
-        self._state.book(job, machine, place)
+        placement = self._state.make_placement(job, task, attempt, machine, machine.epoch)
+        self._state.book(job, machine, placement)
         self._state.touch(job, task)
-        self._state.on_placed(place)
-        place.unpreemptable = starved
-        place.placed_at = now
+        self._state.on_placed(placement)
+        placement.unpreemptable = starved
+        placement.placed_at = now
         job.placed_at = now
         self._state.use_image(machine, job, there=False)
-        if machine.kept_for == job.spec.id:
-            machine.kept_until = 0.0
+        if machine.reserved_for == job.spec.id:
+            machine.reserved_until = 0.0
 
     def _place_gang(self, job: Job, machines: list[Machine], now: float) -> None:
         """All waiting tasks of a gang at once, in one transaction, or none."""
@@ -401,17 +404,21 @@
 
     def _drain(self, machine: Machine, now: float) -> None:
         """A spot notice: save what can be saved in time, give up early on what can't finish."""
-        left = (machine.notice or now) - now
-        report_s = self._state.settings.facts.workers.report_s
-        for place in machine.open.values():
-            if place.halting:
+        left = (machine.reclaim_at or now) - now
+        heartbeat_interval_s = self._state.settings.facts.workers.heartbeat_interval_s
+        for placement in machine.open.values():
+            if placement.stopping:
                 continue
-            job = place.job
-            save = job.spec.save_grace_s + 1.5 * report_s + 1.0 if job.spec.checkpoint_s else 0.0
-            ran = 0.0 if place.running_since is None else now - place.running_since
+            job = placement.job
+            save = (
+                job.spec.checkpoint_grace_s + 1.5 * heartbeat_interval_s + 1.0
+                if job.spec.checkpoint_interval_s
+                else 0.0
+            )
+            ran = 0.0 if placement.running_since is None else now - placement.running_since
             ends_in = max(0.0, self._state.expected(job) - ran)
-            if job.spec.checkpoint_s:
+            if job.spec.checkpoint_interval_s:
                 if left <= save + 1.0:
-                    self._state.halt(place, job.spec.save_grace_s)
+                    self._state.stop(placement, job.spec.checkpoint_grace_s)
             elif ends_in > left * 1.5:
-                self._state.halt(place, 0.0)
+                self._state.stop(placement, 0.0)
--- a/bayford/coordination/leader/zone_monitor.py
+++ b/bayford/coordination/leader/zone_monitor.py
@@ -1,18 +1,18 @@
-"""The owner's watch over its zones: states, what is closed meanwhile, and the record of each loss.
+"""The leader's watch over its zones: states, what is closed meanwhile, and the record of each loss.
 
-The transitions are those of `recovery.zone_health`. Called under the lock of the owner's state.
+The transitions are those of `recovery.zone_health`. Called under the lock of the leader's state.
 """
 
 import logging
 from collections.abc import Mapping
 from types import MappingProxyType
 
-from bayford.coordination.leader.leader_state import OwnerState
+from bayford.coordination.leader.leader_state import LeaderState
 from bayford.recovery import zone_record
-from bayford.recovery.task_outcomes import Fates, TaskKey
+from bayford.recovery.task_outcomes import TaskKey, TaskOutcomes
 from bayford.recovery.zone_health import (
     HealthTimes,
-    OwnerFacts,
+    LeadershipFacts,
     ZoneFacts,
     ZoneState,
     ZoneStatus,
@@ -24,36 +24,39 @@
 
 log = logging.getLogger("bayford.recovery")
 
-QUIET_REPORTS = 2.5  # a machine that missed so many reports is silent
-REPORTS_BACK = 2  # a machine of a zone that returns gets work after so many reports
+MISSED_HEARTBEATS = 2.5  # a machine that missed so many reports is silent
+HEARTBEATS_TO_VERIFY = 2  # a machine of a zone that returns gets work after so many reports
 WRITE_PERIOD_S = 2.0  # how often what becomes of tasks is written, at the most
 
 
-class ZoneWatch:
-    """States of all zones, in this owner's term."""
+class ZoneMonitor:
+    """States of all zones, in this leader's term."""
 
-    def __init__(self, state: OwnerState) -> None:
+    def __init__(self, state: LeaderState) -> None:
         self._state = state
         facts, policy = state.settings.facts, state.policy
         self.times = HealthTimes(
-            facts.workers.lease_s, facts.workers.report_s, policy.recovery_least,
-            settle_leases=policy.recovery_settle_leases, flap_memory_s=policy.recovery_flap_memory_s,
-        )  # fmt: skip
+            facts.workers.lease_s,
+            facts.workers.heartbeat_interval_s,
+            policy.recovery_least,
+            settle_leases=policy.recovery_settle_leases,
+            flap_memory_s=policy.recovery_flap_memory_s,
+        )
         self._controllers: Mapping[str, str] = {}
         self._begin_term()
-        state.on_adopted = self._adopted
+        state.on_leadership_acquired = self._leadership_acquired
         state.on_done = self._on_done
         state.on_placed = self._on_placed
 
     def _begin_term(self) -> None:
         self.statuses: dict[int, ZoneStatus] = {}
-        self.losses: dict[int, list[Fates]] = {}
+        self.losses: dict[int, list[TaskOutcomes]] = {}
         self._unwritten: set[int] = set()
         self._written_at = 0.0
         self._reports: dict[int, tuple[int, tuple[int, int]]] = {}  # by machine: how many, and the last one
 
-    def _adopted(self) -> None:
-        """This controller has become owner: go on with what the owner before has written."""
+    def _leadership_acquired(self) -> None:
+        """This controller has become leader: go on with what the leader before has written."""
         self._begin_term()
         state = self._state
         if not state.policy.recovery:
@@ -68,7 +71,7 @@
                 continue
             if zone is not None:
                 self.statuses[zone] = status
-                self.losses[zone] = [Fates.of(loss) for loss in found.losses]
+                self.losses[zone] = [TaskOutcomes.of(loss) for loss in found.losses]
                 self._note_missed(zone)
         self._publish()
 
@@ -86,17 +89,17 @@
 
     # -- looking ---------------------------------------------------------------------------------------
 
-    def look(self, owner: OwnerFacts, controllers: Mapping[str, str] = MappingProxyType({})) -> None:
+    def update(self, leader: LeadershipFacts, controllers: Mapping[str, str] = MappingProxyType({})) -> None:
         """Take the zones' present state in. `controllers`: for the log, who of each zone is in reach."""
         state = self._state
         self._controllers = controllers
-        if not state.policy.recovery or not state.owner or not state.complete:
+        if not state.policy.recovery or not state.leader or not state.complete:
             return
         now = state.clock()
         zones = self._facts(now)
         for zone in range(len(state.zones)):
             before = self.statuses.get(zone, ZoneStatus(since=now))
-            unknown = blindness(owner, zones, zone, self.times)
+            unknown = blindness(leader, zones, zone, self.times)
             after = advance(before, zones.get(zone, ZoneFacts(0, 0, 0)), unknown, now, self.times)
             self.statuses[zone] = after
             if after.state is not before.state:
@@ -107,16 +110,16 @@
         self._publish()
 
     def _facts(self, now: float) -> dict[int, ZoneFacts]:
-        quiet_s = QUIET_REPORTS * self.times.report_s
+        quiet_s = MISSED_HEARTBEATS * self.times.heartbeat_interval_s
         out: dict[int, ZoneFacts] = {}
         for machine in self._state.machines.values():
-            # A new owner has not heard the machines of a zone that was lost before it began: it knows them by
-            # the tasks that the ledger has there.
-            if machine.zone is None or not (machine.reported or machine.open):
+            # A new leader has not heard the machines of a zone that was lost before it began: it knows them
+            # by the tasks that the task log has there.
+            if machine.zone is None or not (machine.registered or machine.open):
                 continue
             since = self.statuses[machine.zone].since if machine.zone in self.statuses else 0.0
-            heard = now - machine.heard <= quiet_s
-            answering = heard and machine.echoed and machine.answered >= since
+            heard = now - machine.last_heartbeat_at <= quiet_s
+            answering = heard and machine.token_acknowledged and machine.last_answered_at >= since
             old = out.get(machine.zone, ZoneFacts(0, 0, 0))
             out[machine.zone] = ZoneFacts(old.machines + 1, old.heard + heard, old.answering + answering)
         return out
@@ -127,23 +130,27 @@
         wall = state.wall()
         losses = self.losses.setdefault(zone, [])
         if after.state is ZoneState.LOST:
-            fates = Fates(wall - (after.since - after.suspected), wall)
-            fates.open = {
-                (place.job.spec.id, place.task)
+            outcomes = TaskOutcomes(wall - (after.since - after.suspected), wall)
+            outcomes.open = {
+                (placement.job.spec.id, placement.task)
                 for machine in state.machines.values()
                 if machine.zone == zone
-                for place in machine.open.values()
+                for placement in machine.open.values()
             }
-            losses.append(fates)
-            log.error("zone %s is lost with %d tasks there", name, len(fates.open))
+            losses.append(outcomes)
+            log.error("zone %s is lost with %d tasks there", name, len(outcomes.open))
         else:
             if before.state is ZoneState.LOST and losses:
                 losses[-1].returned = wall
                 self._forget_images(zone)
             log.info(
-                "zone %s: %s, then %s (%d flaps); %s", name, before.state, after.state, after.flaps,
+                "zone %s: %s, then %s (%d flaps); %s",
+                name,
+                before.state,
+                after.state,
+                after.flaps,
                 self._controllers.get(name, "no controller there"),
-            )  # fmt: skip
+            )
         if after.state is ZoneState.RETURNING:
             self._reports = {m: seen for m, seen in self._reports.items() if state.zone_of(m) != zone}
         self._unwritten.add(zone)
@@ -155,10 +162,10 @@
         for machine in state.machines.values():
             if machine.zone != zone:
                 continue
-            used = {place.job.image for place in machine.open.values()}
+            used = {placement.job.image for placement in machine.open.values()}
             for image in [image for image in machine.images if image not in used]:
                 del machine.images[image]
-                state.room.dropped(machine, image)
+                state.capacity_index.dropped(machine, image)
 
     def _publish(self) -> None:
         """What the rounds go by."""
@@ -170,55 +177,55 @@
         state.verified_machines = self._verified() if state.returning_zones else frozenset()
 
     def _verified(self) -> frozenset[int]:
-        """Machines of returning zones that have reported twice since: one report alone may have been held
+        """Machines of returning zones that have reported twice since: one heartbeat alone may have been held
         back by the cut, and its machine be gone."""
         out = set()
         for index, machine in self._state.machines.items():
-            if machine.zone not in self._state.returning_zones or not machine.reported:
+            if machine.zone not in self._state.returning_zones or not machine.registered:
                 continue
-            order = (machine.session, machine.tick)
+            order = (machine.epoch, machine.sequence)
             count, last = self._reports.get(index, (0, (-1, -1)))
             since = self.statuses[machine.zone].since
-            if order != last and machine.heard >= since:
+            if order != last and machine.last_heartbeat_at >= since:
                 count += 1
                 self._reports[index] = (count, order)
-            if count >= REPORTS_BACK:
+            if count >= HEARTBEATS_TO_VERIFY:
                 out.add(index)
         return frozenset(out)
 
     # -- what becomes of tasks ---------------------------------------------------------------------------
 
-    def _on_done(self, place: Placement) -> None:
-        key = (place.job.spec.id, place.task)
+    def _on_done(self, placement: Placement) -> None:
+        key = (placement.job.spec.id, placement.task)
         for zone, losses in self.losses.items():
-            if any(fates.note_done(key) for fates in losses):
+            if any(outcomes.note_done(key) for outcomes in losses):
                 self._unwritten.add(zone)
 
-    def _on_placed(self, place: Placement) -> None:
-        key = (place.job.spec.id, place.task)
-        machine = self._state.machines_by[place.machine]
+    def _on_placed(self, placement: Placement) -> None:
+        key = (placement.job.spec.id, placement.task)
+        machine = self._state.machine_names[placement.machine]
         for zone, losses in self.losses.items():
-            if any(fates.note_placed(key, machine) for fates in losses):
+            if any(outcomes.note_placed(key, machine) for outcomes in losses):
                 self._unwritten.add(zone)
 
     def _note_missed(self, zone: int) -> None:
-        """What became of tasks between the last record of the owner before and the beginning of this one."""
-        for fates in self.losses[zone]:
-            for key in list(fates.open):
+        """What became of tasks between the last record of the leader before and the beginning of this one."""
+        for outcomes in self.losses[zone]:
+            for key in list(outcomes.open):
                 job = self._state.jobs.get(key[0])
                 if job is None or key[1] in job.done:
-                    fates.note_over(key)
+                    outcomes.note_over(key)
                 elif key[1] in job.open and self._state.zone_of(job.open[key[1]].machine) not in (None, zone):
-                    fates.note_placed(key, self._state.machines_by[job.open[key[1]].machine])
+                    outcomes.note_placed(key, self._state.machine_names[job.open[key[1]].machine])
                 else:
                     continue
                 self._unwritten.add(zone)
 
     def _note_cancelled(self) -> None:
         for zone, losses in self.losses.items():
-            for fates in losses:
-                for key in [key for key in fates.open if self._is_cancelled(key)]:
-                    fates.note_cancelled(key)
+            for outcomes in losses:
+                for key in [key for key in outcomes.open if self._is_cancelled(key)]:
+                    outcomes.on_cancelled(key)
                     self._unwritten.add(zone)
 
     def _is_cancelled(self, key: TaskKey) -> bool:
@@ -256,7 +263,10 @@
         del losses[: -zone_record.MOST_LOSSES]
         offset = state.wall() - state.clock()
         found = zone_record.ZoneRecord(
-            state.zones[zone], status.state.value, status.since + offset, status.flaps,
-            [fates.record() for fates in losses],
-        )  # fmt: skip
+            state.zones[zone],
+            status.state.value,
+            status.since + offset,
+            status.flaps,
+            [outcomes.record() for outcomes in losses],
+        )
         return zone_record.encode(found, state.limits.value_bytes)
--- a/bayford/coordination/leadership/transfer.py
+++ b/bayford/coordination/leadership/transfer.py
@@ -1,37 +1,37 @@
-"""When an owner that workers can't reach hands its work to a controller that they can reach.
+"""When a leader that workers can't reach hands its work to a controller that they can reach.
 
-Such an owner keeps its lease at the state service, so nobody takes over from it, and every report and start
-goes through a relay: later, without direct commands, and without the evidence that closes a cancelled start.
-Pure decisions; `Controller` gathers the counts and writes the map.
+Such a leader keeps its lease at the state service, so nobody takes over from it, and every heartbeat and
+start goes through a relay: later, without direct commands, and without the evidence that closes a cancelled
+start. Pure decisions; `Controller` gathers the counts and writes the leadership record.
 """
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-REPORT_INTERVALS = 2.5  # a machine that has been heard within so many of them is in contact
-LEAST_WINDOW_S = 5.0  # a worker tries the next controller 5 s after its report went unanswered
-DIRECT_SHARE = 0.1  # an owner that hears more than this of what a relay hears keeps its work
-RETRY_S = 2.0  # between two attempts to write the map
+HEARTBEAT_INTERVALS = 2.5  # a machine that has been heard within so many of them is in contact
+LEAST_WINDOW_S = 5.0  # a worker tries the next controller 5 s after its heartbeat went unanswered
+DIRECT_SHARE = 0.1  # a leader that hears more than this of what a relay hears keeps its work
+RETRY_S = 2.0  # between two attempts to write the leadership record
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerContact:
-    """How many machines the owner has heard lately: by their own reports, and through each relay."""
+    """How many machines the leader has heard lately: by their own reports, and through each relay."""
 
     direct: int
     relayed: Mapping[str, int]
 
 
-def contact_window(report_s: float) -> float:
-    """For how many seconds a report counts as contact with its machine."""
-    return max(LEAST_WINDOW_S, REPORT_INTERVALS * report_s)
+def contact_window(heartbeat_interval_s: float) -> float:
+    """For how many seconds a heartbeat counts as contact with its machine."""
+    return max(LEAST_WINDOW_S, HEARTBEAT_INTERVALS * heartbeat_interval_s)
 
 
 def successor(contact: WorkerContact, candidates: Collection[str]) -> str | None:
     """The controller to hand over to, or None.
 
-    It must hear most of the machines in contact, and the owner next to none of them. Where each controller
-    hears a part of the machines nobody qualifies, so that ownership does not go round.
+    It must hear most of the machines in contact, and the leader next to none of them. Where each controller
+    hears a part of the machines nobody qualifies, so that leadership does not go round.
     """
     able = {name: count for name, count in contact.relayed.items() if name in candidates}
     if not able:
--- a/bayford/coordination/store_limits.py
+++ b/bayford/coordination/store_limits.py
@@ -16,13 +16,13 @@
 LEAST_OPS = 2  # a row and the record of a job that is done
 
 
-class Limits:
+class StoreLimits:
     """Sizes and rates to keep to. Read by many threads, each value by itself; lowered by whoever is
     refused."""
 
     def __init__(self, state: State) -> None:
         coming = state.next
-        self.layout_bytes = int(state.value_kb * 1024)  # what the ledger's blocks were laid out for
+        self.layout_bytes = int(state.value_kb * 1024)  # what the task log's blocks were laid out for
         self.value_bytes = self.layout_bytes
         self.txn_ops = state.txn_ops
         self.write_rps = state.write_rps
@@ -44,5 +44,8 @@
             self.value_bytes = max(LEAST_VALUE, min(self.value_bytes, longest) * 3 // 4)
         log.error(
             "the state service refused %d changes, %d bytes the longest: from now on %d changes, %d bytes",
-            changes, longest, self.txn_ops, self.value_bytes,
-        )  # fmt: skip
+            changes,
+            longest,
+            self.txn_ops,
+            self.value_bytes,
+        )
--- a/bayford/coordination/token_bucket.py
+++ b/bayford/coordination/token_bucket.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 
-class Budget:
+class TokenBucket:
     """A token bucket: `rate` a second, at most `burst` saved up."""
 
     def __init__(self, rate: float, burst: float, clock: Callable[[], float] = time.monotonic) -> None:
--- a/bayford/protocol/cloud_api.py
+++ b/bayford/protocol/cloud_api.py
@@ -67,8 +67,8 @@
     def catalog(self) -> list[MachineType]:
         """The machine types and their present prices."""
 
-    def rent(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
-        """Rent up to `count` machines; the request's name is never used for another."""
+    def launch(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
+        """Launch up to `count` machines; the request's name is never used for another."""
 
     def delete(self, names: list[str]) -> None:
         """Delete machines; when this returns they are gone."""
@@ -115,8 +115,8 @@
             for b in got.builds
         ]
 
-    def rent(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
-        """Rent machines."""
+    def launch(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
+        """Launch machines."""
         body = {"hire": request, "build": kind, "yard": zone, "loaners": spot, "count": count}
         return msgspec.json.decode(self._ask("POST", "/hosts", body), type=_Rented).docks
 
--- a/bayford/protocol/jobs.py
+++ b/bayford/protocol/jobs.py
@@ -151,10 +151,14 @@
     text = f"overload ({reason}): jobs of this class and team are admitted in part, try again later"
     return orjson.dumps(
         {
-            "error": text, "class": job_class, "team": team, "reason": reason, "level": level,
+            "error": text,
+            "class": job_class,
+            "team": team,
+            "reason": reason,
+            "level": level,
             "revision": revision,
         }
-    )  # fmt: skip
+    )
 
 
 class _Rank(msgspec.Struct):
--- a/bayford/protocol/key_value_api.py
+++ b/bayford/protocol/key_value_api.py
@@ -1,4 +1,4 @@
-"""The state service's HTTP interface as a `storage.store.Store`."""
+"""The state service's HTTP interface as a `storage.store.KeyValueStore`."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,7 +18,7 @@
     UnavailableError,
 )
 
-# method, path, body, seconds to wait -> status, body. Raises Unavailable or Unknown, as `Store` says.
+# method, path, body, seconds to wait -> status, body. Raises Unavailable or Unknown, as `KeyValueStore` says.
 Caller = Callable[[str, str, bytes | None, float], tuple[int, bytes]]
 
 PAGE = 400
@@ -50,7 +50,7 @@
 _permit = msgspec.json.Decoder(_Permit)
 
 
-class StateApi:
+class KeyValueApi:
     """One typed call per request; `call` carries it, `timeout_s` bounds it."""
 
     def __init__(self, call: Caller, timeout_s: float = 2.0) -> None:
@@ -87,7 +87,7 @@
                 return out, revision
             since = out[-1].key
 
-    def commit(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
+    def compare_and_swap(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
         """An atomic transaction."""
         then: list[dict[str, Any]] = []
         for put in puts:
@@ -115,7 +115,7 @@
             raise UnavailableError(f"transaction: {status} {raw[:200]!r}", refused=True)
         raise OutcomeUnknownError(f"transaction: {status}")
 
-    def changes(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
+    def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
         """Changes after `since`."""
         path = f"/changes?prefix={quote(prefix)}&since={since}&block_ms={int(wait_s * 1000)}"
         status, raw = self._ask("GET", path, extra_s=wait_s, ok=(200, 410))
@@ -130,11 +130,11 @@
                 rows.append(Row(event["drop"], None, event["stamp"]))
         return rows, got.epoch
 
-    def lease(self, ttl_s: float) -> int:
+    def grant_lease(self, ttl_s: float) -> int:
         """A new lease."""
         return _permit.decode(self._ask("POST", "/leases", {"ttl_ms": int(ttl_s * 1000)})[1]).permit
 
-    def renew(self, lease: int) -> None:
+    def renew_lease(self, lease: int) -> None:
         """Extend a lease."""
         status, _ = self._ask("POST", f"/leases/{lease}/extend", {}, ok=(200, 204, 404))
         if status == 404:
--- a/bayford/protocol/mesh.py
+++ b/bayford/protocol/mesh.py
@@ -7,7 +7,7 @@
 import msgspec
 import orjson
 
-from bayford.protocol.workers import Report, TaskState
+from bayford.protocol.workers import Heartbeat, TaskState
 
 STATUS_PATH = "/mesh/status"
 CANCELLED_PATH = "/mesh/cancelled"  # unknown to the first two releases, which answer 404
@@ -25,11 +25,11 @@
 
 
 class Status(msgspec.Struct):
-    """One controller's view of the map."""
+    """One controller's view of the leadership record."""
 
     member: str
-    token: int
-    owner: str
+    fencing_token: int = msgspec.field(name="token")
+    leader: str = msgspec.field(name="owner")
     served: bool = False  # by the state service, lately
     release: int = 1  # of the program; the first one did not say
     submitted: Submitted | None = None  # with admission on
@@ -59,44 +59,61 @@
     return _cancelled.decode(body)
 
 
-def pack_report(report: Report) -> list[Any]:
-    """A report as a compact row of a relay's record."""
+def pack_heartbeat(heartbeat: Heartbeat) -> list[Any]:
+    """A heartbeat as a compact row of a relay's record."""
     return [
-        report.machine, report.address, report.type, report.zone, int(report.spot), report.session,
-        report.tick, report.token, report.notice_s,
-        [[t.part, t.attempt, t.phase, t.why, int(t.saved)] for t in report.tasks],
-    ]  # fmt: skip
-
-
-def unpack_report(row: list[Any]) -> Report:
-    """The inverse of `pack_report`."""
-    return Report(
-        machine=row[0], address=row[1], type=row[2], zone=row[3], spot=bool(row[4]), session=row[5],
-        tick=row[6], token=row[7], notice_s=row[8],
-        tasks=[TaskState(part=t[0], attempt=t[1], phase=t[2], why=t[3], saved=bool(t[4])) for t in row[9]],
-    )  # fmt: skip
-
-
-def pack_reports(reports: list[Report], most: int) -> list[str]:
+        heartbeat.machine,
+        heartbeat.address,
+        heartbeat.type,
+        heartbeat.zone,
+        int(heartbeat.spot),
+        heartbeat.epoch,
+        heartbeat.sequence,
+        heartbeat.fencing_token,
+        heartbeat.reclaim_notice_s,
+        [[t.task_id, t.attempt, t.phase, t.reason, int(t.checkpointed)] for t in heartbeat.tasks],
+    ]
+
+
+def unpack_heartbeat(row: list[Any]) -> Heartbeat:
+    """The inverse of `pack_heartbeat`."""
+    return Heartbeat(
+        machine=row[0],
+        address=row[1],
+        type=row[2],
+        zone=row[3],
+        spot=bool(row[4]),
+        epoch=row[5],
+        sequence=row[6],
+        fencing_token=row[7],
+        reclaim_notice_s=row[8],
+        tasks=[
+            TaskState(task_id=t[0], attempt=t[1], phase=t[2], reason=t[3], checkpointed=bool(t[4]))
+            for t in row[9]
+        ],
+    )
+
+
+def pack_heartbeats(heartbeats: list[Heartbeat], most: int) -> list[str]:
     """Reports as texts of at most `most` characters, as few as they fit into.
 
     In a cut between zones hundreds of machines speak through one relay, and each text is one of the few
-    changes a second that all controllers share. The reports are much alike and shrink to a fifth. The
+    changes a second that all controllers share. The heartbeats are much alike and shrink to a fifth. The
     alphabet of base 85 has no character that JSON escapes.
     """
-    if not reports:
+    if not heartbeats:
         return []
-    body = orjson.dumps([pack_report(report) for report in reports])
+    body = orjson.dumps([pack_heartbeat(heartbeat) for heartbeat in heartbeats])
     text = base64.b85encode(zlib.compress(body, 6)).decode()
-    if len(text) <= most or len(reports) == 1:
+    if len(text) <= most or len(heartbeats) == 1:
         return [text]
-    half = len(reports) // 2
-    return pack_reports(reports[:half], most) + pack_reports(reports[half:], most)
+    half = len(heartbeats) // 2
+    return pack_heartbeats(heartbeats[:half], most) + pack_heartbeats(heartbeats[half:], most)
 
 
-def unpack_reports(text: str) -> list[Report]:
+def unpack_heartbeats(text: str) -> list[Heartbeat]:
     """The inverse, of one text; raises ValueError for anything else."""
     try:
-        return [unpack_report(row) for row in orjson.loads(zlib.decompress(base64.b85decode(text)))]
+        return [unpack_heartbeat(row) for row in orjson.loads(zlib.decompress(base64.b85decode(text)))]
     except (zlib.error, IndexError, TypeError) as bad:
         raise ValueError(f"not reports: {bad!r}") from bad
--- a/bayford/recovery/task_outcomes.py
+++ b/bayford/recovery/task_outcomes.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class Fates:
+class TaskOutcomes:
     """One loss, task by task. Each task has exactly one fate at any time."""
 
     suspected: float  # time of day, as all of these
@@ -19,7 +19,7 @@
     finished: set[TaskKey] = field(default_factory=set)
     again: dict[TaskKey, str] = field(default_factory=dict)
     cancelled: set[TaskKey] = field(default_factory=set)
-    over: set[TaskKey] = field(default_factory=set)  # ended between two owners, nobody saw where
+    over: set[TaskKey] = field(default_factory=set)  # ended between two leaders, nobody saw where
 
     def _settle(self, key: TaskKey) -> bool:
         """The task is not open any more; whether it was."""
@@ -41,7 +41,7 @@
         self.again[key] = machine
         return True
 
-    def note_cancelled(self, key: TaskKey) -> bool:
+    def on_cancelled(self, key: TaskKey) -> bool:
         """The task's job is cancelled and nothing of it is left there; whether that is news."""
         if not self._settle(key):
             return False
@@ -49,7 +49,7 @@
         return True
 
     def note_over(self, key: TaskKey) -> bool:
-        """The task was over when the next owner began; whether that is news."""
+        """The task was over when the next leader began; whether that is news."""
         if not self._settle(key):
             return False
         self.over.add(key)
@@ -61,18 +61,29 @@
         for (job, task), machine in sorted(self.again.items()):
             again.setdefault(job, []).append(Elsewhere(task, machine))
         return Loss(
-            self.suspected, self.lost, self.returned, _by_job(self.open), _by_job(self.finished), again,
-            _by_job(self.cancelled), _by_job(self.over),
-        )  # fmt: skip
+            self.suspected,
+            self.lost,
+            self.returned,
+            _by_job(self.open),
+            _by_job(self.finished),
+            again,
+            _by_job(self.cancelled),
+            _by_job(self.over),
+        )
 
     @staticmethod
-    def of(loss: Loss) -> "Fates":
+    def of(loss: Loss) -> "TaskOutcomes":
         """From what is stored."""
-        return Fates(
-            loss.suspected, loss.lost, loss.returned, _keys(loss.open), _keys(loss.finished),
+        return TaskOutcomes(
+            loss.suspected,
+            loss.lost,
+            loss.returned,
+            _keys(loss.open),
+            _keys(loss.finished),
             {(job, e.task): e.machine for job, found in loss.again.items() for e in found},
-            _keys(loss.cancelled), _keys(loss.over),
-        )  # fmt: skip
+            _keys(loss.cancelled),
+            _keys(loss.over),
+        )
 
 
 def _by_job(keys: set[TaskKey]) -> dict[str, list[int]]:
--- a/bayford/recovery/zone_health.py
+++ b/bayford/recovery/zone_health.py
@@ -1,7 +1,7 @@
-"""Whether a zone is up, as a state machine fed with what an owner sees of its machines.
+"""Whether a zone is up, as a state machine fed with what a leader sees of its machines.
 
 A zone counts as lost only if most of its machines are silent together while others are heard: single machines
-are nobody's zone, and an owner that hears nobody may be the one that is cut off. Who can't know stays with
+are nobody's zone, and a leader that hears nobody may be the one that is cut off. Who can't know stays with
 the state that it has, and says why. Nothing here ends any work: that takes the evidence of the safety
 argument (docs/architecture.md), whatever a zone is called.
 """
@@ -12,7 +12,7 @@
 
 
 class ZoneState(enum.StrEnum):
-    """What an owner takes a zone for."""
+    """What a leader takes a zone for."""
 
     UP = "up"
     SUSPECT = "suspect"  # most machines fell silent together: nothing new goes there
@@ -21,7 +21,7 @@
 
     @property
     def closed(self) -> bool:
-        """Whether nothing is placed or rented there."""
+        """Whether nothing is placed or launched there."""
         return self in (ZoneState.SUSPECT, ZoneState.LOST)
 
 
@@ -32,15 +32,15 @@
     machines: int  # that have reported and have not been given back
     heard: int  # of these, lately, directly or through a relay
     answering: (
-        int  # of those heard, the ones that have answered this owner itself since the zone's last state
+        int  # of those heard, the ones that have answered this leader itself since the zone's last state
     )
 
 
 @dataclass(frozen=True, slots=True)
-class OwnerFacts:
-    """What the owner knows of its own standing."""
+class LeadershipFacts:
+    """What the leader knows of its own standing."""
 
-    sure: bool  # to be the owner, by a view that is not old
+    verified: bool  # to be the leader, by a view that is not old
     served: bool  # by the state service
     listening_s: float  # for how long it has taken reports without a break
 
@@ -50,7 +50,7 @@
     """Times and shares that the transitions go by, from the deployment's and the operators' settings."""
 
     lease_s: float
-    report_s: float
+    heartbeat_interval_s: float
     least_machines: int = 3  # of which a zone must have had so many
     silent_share: float = 0.75
     heard_share: float = 0.5
@@ -60,7 +60,7 @@
     @property
     def lost_after_s(self) -> float:
         """From suspicion on, until the leases of all that was heard before it have run out."""
-        return self.lease_s + self.report_s
+        return self.lease_s + self.heartbeat_interval_s
 
     def settle_s(self, flaps: int) -> float:
         """How long a zone has to answer until it is up again: twice as long after each flap."""
@@ -79,13 +79,13 @@
     unknown: str = ""  # why nothing can be said now, empty if something can
 
 
-def blindness(owner: OwnerFacts, zones: Mapping[int, ZoneFacts], zone: int, times: HealthTimes) -> str:
-    """Why this owner can't tell whether a zone is lost; empty if it can."""
-    if not owner.sure:
+def blindness(leader: LeadershipFacts, zones: Mapping[int, ZoneFacts], zone: int, times: HealthTimes) -> str:
+    """Why this leader can't tell whether a zone is lost; empty if it can."""
+    if not leader.verified:
         return "not sure to be the owner"
-    if not owner.served:
+    if not leader.served:
         return "the state service does not answer"
-    if owner.listening_s < times.lease_s:
+    if leader.listening_s < times.lease_s:
         return "reports have been taken for less than a lease"
     others = [facts for index, facts in zones.items() if index != zone and facts.machines]
     if not others:
--- a/bayford/recovery/zone_record.py
+++ b/bayford/recovery/zone_record.py
@@ -1,7 +1,7 @@
 """What is stored of a zone's losses: when, what ran there, and what became of each task.
 
-One value for each zone under `b/zone/<name>`, written by the owner and read by the next one and by operators.
-It has a bound: the newest losses are told in full, older ones in numbers alone.
+One value for each zone under `b/zone/<name>`, written by the leader and read by the next one and by
+operators. It has a bound: the newest losses are told in full, older ones in numbers alone.
 """
 
 from typing import Any
@@ -36,7 +36,7 @@
     finished: dict[str, list[int]] = {}  # there, although the zone was lost
     again: dict[str, list[Elsewhere]] = {}
     cancelled: dict[str, list[int]] = {}
-    over: dict[str, list[int]] = {}  # when the next owner began: where they ended, nobody saw
+    over: dict[str, list[int]] = {}  # when the next leader began: where they ended, nobody saw
     counts: dict[str, int] = {}  # of those above, where they are not told one by one any more
 
     def totals(self) -> dict[str, int]:
@@ -49,7 +49,7 @@
         return out
 
     def brief(self) -> "Loss":
-        """The same in numbers. What is open stays, for the next owner has to follow it."""
+        """The same in numbers. What is open stays, for the next leader has to follow it."""
         totals = self.totals()
         totals.pop("open")
         return Loss(self.suspected, self.lost, self.returned, self.open, counts=totals)
--- a/bayford/recovery/report.py
+++ b/bayford/recovery/zone_report.py
@@ -51,18 +51,18 @@
     )
 
 
-def _fates(loss: Loss) -> list[str]:
+def _outcomes(loss: Loss) -> list[str]:
     out = [
         f"{job} run again: {', '.join(f'{e.task} on {e.machine}' for e in found)}"
         for job, found in loss.again.items()
     ]
-    fates = {
+    outcomes = {
         "finished there": loss.finished,
         "cancelled": loss.cancelled,
         "over when an owner began": loss.over,
         "open": loss.open,
     }
-    for fate, jobs in fates.items():
+    for fate, jobs in outcomes.items():
         out += [f"{job} {fate}: {_ranges(flat)}" for job, flat in jobs.items()]
     return out
 
@@ -70,7 +70,7 @@
 def as_text(zones: list[ZoneRecord]) -> str:
     """For a terminal."""
     environment = jinja2.Environment(undefined=jinja2.StrictUndefined, autoescape=False)
-    environment.filters |= {"at": _at, "back": _back, "fates": _fates, "totals": _totals}
+    environment.filters |= {"at": _at, "back": _back, "fates": _outcomes, "totals": _totals}
     return environment.from_string(TEMPLATE).render(zones=zones).strip("\n")
 
 
--- a/bayford/scheduling/capacity_index.py
+++ b/bayford/scheduling/capacity_index.py
@@ -1,9 +1,9 @@
 """Machines with room, indexed, so that finding the best ones for a job does not mean looking at the fleet.
 
-The order is that of `placement_rules.score`: machines that hold the image, then those that fetch it, then the rest;
-in each, spot before ordinary ones, the fullest first, the lowest number first. Machines alike in type, zone,
-kind and free CPUs lie in one bucket, in the order of their numbers; a search goes through the buckets in the
-order of the score and stops when it has enough. Pure: no clock, no I/O.
+The order is that of `placement_rules.score`: machines that hold the image, then those that fetch it, then the
+rest; in each, spot before on-demand ones, the fullest first, the lowest number first. Machines alike in type,
+zone, kind and free CPUs lie in one bucket, in the order of their numbers; a search goes through the buckets
+in the order of the score and stops when it has enough. Pure: no clock, no I/O.
 """
 
 import bisect
@@ -32,7 +32,7 @@
     indices: list[int] = field(default_factory=list)  # of machines, ascending
 
 
-class RoomIndex:
+class CapacityIndex:
     """The machines that have some CPU or card free."""
 
     def __init__(self) -> None:
--- a/bayford/scheduling/model.py
+++ b/bayford/scheduling/model.py
@@ -1,6 +1,6 @@
 """What the decisions are about: jobs, tasks, machines and teams, by dense index.
 
-Names become indices at the door (`Names`), so that the hot paths compare small integers. Nothing here
+Names become indices at the door (`Interner`), so that the hot paths compare small integers. Nothing here
 knows a wire name, a clock or a socket.
 """
 
@@ -16,10 +16,10 @@
 SERVICE_RUN_S = 600.0  # how long a replica is expected to go on, where a guess is needed: it has no end
 URGENT = PRIORITIES.index("urgent")
 EPS = 1e-6
-SAVE_MARGIN = 1.5  # of the time that a task says it needs to save
+CHECKPOINT_MARGIN = 1.5  # of the time that a task says it needs to save
 
 
-class Names:
+class Interner:
     """A two-way table of names and dense indices; an index never changes its name."""
 
     def __init__(self, names: Iterable[str] = ()) -> None:
@@ -66,15 +66,15 @@
     spread: bool
     spot: bool
     estimate_s: float
-    checkpoint_s: float
-    save_s: float
+    checkpoint_interval_s: float
+    checkpoint_save_s: float
     deadline_s: float | None
     shape: str = ARRAY
 
     @property
-    def save_grace_s(self) -> float:
+    def checkpoint_grace_s(self) -> float:
         """How long a task that is stopped is given to save."""
-        return self.save_s * SAVE_MARGIN
+        return self.checkpoint_save_s * CHECKPOINT_MARGIN
 
 
 class MachineType(msgspec.Struct, frozen=True):
@@ -106,25 +106,25 @@
     task: int
     attempt: int
     machine: int
-    session: int
-    part: str  # the task's name
-    placed_at: float = 0.0  # 0: by an owner before this one
+    epoch: int
+    task_id: str  # the task's name
+    placed_at: float = 0.0  # 0: by a leader before this one
     durable: bool = False  # committed: only then may its start go out
     started: bool = False  # the machine has been seen with it
     running_since: float | None = None
-    halting: bool = False
-    halt_grace: float = 0.0
-    halt_sent: bool = False  # by a direct command
+    stopping: bool = False
+    stop_grace_s: float = 0.0
+    stop_sent: bool = False  # by a direct command
     unpreemptable: bool = False  # it runs because its job had waited long: nobody pushes it out
 
     @property
     def key(self) -> tuple[str, int]:
         """Task name and attempt."""
-        return (self.part, self.attempt)
+        return (self.task_id, self.attempt)
 
     @property
     def placed_here(self) -> bool:
-        """Whether this owner has placed it, and not one before."""
+        """Whether this leader has placed it, and not one before."""
         return self.placed_at > 0.0
 
 
@@ -146,36 +146,36 @@
     cancelled: bool = False
     cancelled_at: float = 0.0
     cancel_known: float = 0.0  # when this controller learned of it
-    stamp: int = 0  # of its record
+    version: int = 0  # of its record
     placed_at: float = NEVER  # when a task of it was last put on a machine
     not_before: float = 0.0
     errors: int = 0
-    held_back: int = 0  # how often it was held back because it failed everywhere
+    backoff_count: int = 0  # how often it was held back because it failed everywhere
     failed_on: set[int] = field(default_factory=set)
     hints: dict[int, int] = field(default_factory=dict)  # task -> machine that the balancer chose for it
     # Replicas of a service that ended: how often in a row, and until when those that end again and again
     # rest. Each by itself, so that one that can't run keeps none of the others.
-    ends: dict[int, int] = field(default_factory=dict)
+    consecutive_exits: dict[int, int] = field(default_factory=dict)
     # Replicas that were up and are not: since when that was known, and for how long it was not known by then.
-    down: dict[int, tuple[float, float]] = field(default_factory=dict)
-    resting: dict[int, float] = field(default_factory=dict)
-    # How often tasks were stopped to make room for others, as far as this owner knows.
-    stops: dict[int, int] = field(default_factory=dict)
-    cheap_hosts: bool = True  # whether the fleet has cheap machines that it may run on
+    down_since: dict[int, tuple[float, float]] = field(default_factory=dict)
+    backing_off: dict[int, float] = field(default_factory=dict)
+    # How often tasks were stopped to make room for others, as far as this leader knows.
+    preemption_counts: dict[int, int] = field(default_factory=dict)
+    spot_hosts: bool = True  # whether the fleet has spot machines that it may run on
     why_waiting: str = ""
 
     @property
-    def standing(self) -> bool:
+    def is_service(self) -> bool:
         """A service: it has no end but its cancellation."""
         return self.spec.shape == SERVICE
 
-    def wake(self, now: float) -> None:
+    def requeue_backed_off(self, now: float) -> None:
         """Replicas that have rested long enough wait again, for any machine: on a small site there may be
         none left on which nothing of the job has ever failed."""
-        if min(self.resting.values()) <= now:
+        if min(self.backing_off.values()) <= now:
             self.failed_on.clear()
-        for task in [t for t, until in self.resting.items() if until <= now]:
-            del self.resting[task]
+        for task in [t for t, until in self.backing_off.items() if until <= now]:
+            del self.backing_off[task]
             self.requeue(task)
 
     @property
@@ -183,9 +183,9 @@
         """All tasks done. A done job is never cancelled afterwards."""
         return len(self.done) == self.spec.tasks
 
-    def note_stop(self, task: int) -> None:
+    def note_preemption(self, task: int) -> None:
         """The task is stopped to make room."""
-        self.stops[task] = self.stops.get(task, 0) + 1
+        self.preemption_counts[task] = self.preemption_counts.get(task, 0) + 1
 
     def requeue(self, task: int) -> None:
         """Put a task that was on a machine back in front of the queue, unless nobody wants it any more."""
@@ -195,7 +195,7 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A rented machine as last heard of; `None` of the type means that no report has named it yet."""
+    """A launched machine as last heard of; `None` of the type means that no heartbeat has named it yet."""
 
     index: int
     name: str
@@ -206,26 +206,28 @@
     gpus: float = 0.0
     mem_gb: float = 0.0
     address: str = ""
-    session: int = 0
-    tick: int = -1
-    heard: float = 0.0  # last report, or when this controller first knew of it
-    reported: bool = False  # a report of it has come to this controller
-    echoed: bool = False  # it has said our token back, so it was there since we command
-    ordered: list[tuple[str, int, str]] = field(default_factory=list)  # the last answer: task, attempt, verb
-    unheeded: int = 0  # answers in a row of which nothing showed afterwards
-    answered: float = NEVER  # when the last answer left
-    lapses: int = 0  # sessions that ended although it was answered, nothing heeded since
+    epoch: int = 0
+    sequence: int = -1
+    last_heartbeat_at: float = 0.0  # last heartbeat, or when this controller first knew of it
+    registered: bool = False  # a heartbeat of it has come to this controller
+    token_acknowledged: bool = False  # it has said our token back, so it was there since we command
+    sent_commands: list[tuple[str, int, str]] = field(
+        default_factory=list
+    )  # the last answer: task, attempt, verb
+    unacknowledged: int = 0  # answers in a row of which nothing showed afterwards
+    last_answered_at: float = NEVER  # when the last answer left
+    lease_expiries: int = 0  # epochs that ended although it was answered, nothing heeded since
     relay: str = ""  # the controller that hears it, if not this one
-    rented: float = 0.0
+    launched_at: float = 0.0
     listed: bool = False
-    missing: int = 0
-    notice: float | None = None  # when the cloud takes it
+    missing_from_lists: int = 0
+    reclaim_at: float | None = None  # when the cloud takes it
     quarantined: bool = False
     lost: bool = False  # it does not hear us, or has stopped: what runs there, if anything does, is no use
     deleting: bool = False
     failed_jobs: dict[str, int] = field(default_factory=dict)
     failed_at: float = NEVER
-    good: int = 0
+    completed_tasks: int = 0
     idle_since: float = 0.0
     # image -> fetched (False: on its way), the one used last at the end
     images: dict[int, bool] = field(default_factory=dict)
@@ -233,27 +235,27 @@
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_mem: float = 0.0
-    full_until: float = 0.0
-    kept_for: str = ""  # the job that room is being made for here
-    kept_until: float = 0.0
+    backoff_until: float = 0.0
+    reserved_for: str = ""  # the job that room is being made for here
+    reserved_until: float = 0.0
 
     @property
     def usable(self) -> bool:
         """May new tasks go there."""
         return (
-            self.echoed
+            self.token_acknowledged
             and self.type is not None
             and not (self.quarantined or self.deleting)
-            and self.notice is None
+            and self.reclaim_at is None
         )
 
-    def take(self, spec: JobSpec) -> None:
+    def reserve(self, spec: JobSpec) -> None:
         """Book one task."""
         self.free_cpus -= spec.cpus
         self.free_gpus -= spec.gpus
         self.free_mem -= spec.mem_gb
 
-    def give(self, spec: JobSpec) -> None:
+    def release(self, spec: JobSpec) -> None:
         """Unbook one task."""
         self.free_cpus += spec.cpus
         self.free_gpus += spec.gpus
--- a/bayford/scheduling/placement_rules.py
+++ b/bayford/scheduling/placement_rules.py
@@ -15,8 +15,8 @@
 def zones_open(job: Job, zone_of: Callable[[int], int | None]) -> dict[int, int]:
     """How many open placements the job has in each zone."""
     count: dict[int, int] = {}
-    for place in job.open.values():
-        zone = zone_of(place.machine)
+    for placement in job.open.values():
+        zone = zone_of(placement.machine)
         if zone is not None:
             count[zone] = count.get(zone, 0) + 1
     return count
@@ -40,12 +40,12 @@
     """Whether a task of the job may start on the machine now, room not considered."""
     return (
         machine.usable
-        and machine.full_until <= now
+        and machine.backoff_until <= now
         and machine.zone is not None
         and type_allowed(job, machine)
         and zone_allowed(job, machine.zone, counts)
         and machine.index not in job.failed_on
-        and (machine.kept_until <= now or machine.kept_for == job.spec.id)
+        and (machine.reserved_until <= now or machine.reserved_for == job.spec.id)
     )
 
 
@@ -87,18 +87,18 @@
     fewest replicas; then machines that have services already, so that others can go back, and the fullest of
     these.
     """
-    here = sum(place.job is job for place in machine.open.values())
+    here = sum(placement.job is job for placement in machine.open.values())
     fetching = any(not there for image, there in machine.images.items() if image != job.image)
     have = machine.images.get(job.image)
     fetch = 0.0 if have else fetch_s * (0.7 if have is not None else 2.0 if fetching else 1.0)
-    services = any(place.job.standing for place in machine.open.values())
+    services = any(placement.job.is_service for placement in machine.open.values())
     zone = zones.get(machine.zone, 0) if machine.zone is not None else 0
     return (fetch + here * spread_s, zone, 0.0 if services else 1.0, machine.free_cpus, machine.index)
 
 
 def steady(machine: Machine, now: float, quiet_s: float) -> bool:
     """Whether a service may go there: heard lately, and nothing has just failed there."""
-    return now - machine.heard <= quiet_s and now - machine.failed_at > DOUBT_S
+    return now - machine.last_heartbeat_at <= quiet_s and now - machine.failed_at > DOUBT_S
 
 
 def choose_gang(job: Job, machines: Sequence[Machine], count: int) -> list[Machine] | None:
@@ -113,12 +113,12 @@
             machine = first(job, ranked(job, allowed))
             if machine is None:
                 break
-            machine.take(job.spec)
+            machine.reserve(job.spec)
             picks.append(machine)
             zone = machine.zone if machine.zone is not None else -1
             counts[zone] = counts.get(zone, 0) + 1
         for machine in picks:
-            machine.give(job.spec)
+            machine.release(job.spec)
         if len(picks) == count:
             return picks
     return None
--- a/bayford/scheduling/policy.py
+++ b/bayford/scheduling/policy.py
@@ -3,6 +3,20 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+# Fields whose names in the operators' script differ: operators' scripts keep working as they are.
+SETTING_NAMES: Mapping[str, str] = {
+    "service_share": "standing_share",
+    "service_floor": "standing_floor",
+    "service_boot_times": "standing_boots",
+    "service_quiet_heartbeats": "standing_quiet",
+    "on_demand_idle_s": "dear_idle_s",
+}
+
+
+def setting_name(field_name: str) -> str:
+    """The name by which the operators' script sets a field of `Policy`."""
+    return SETTING_NAMES.get(field_name, field_name)
+
 
 @dataclass(frozen=True, slots=True)
 class Policy:
@@ -21,25 +35,25 @@
     preempt_wait_s: float = 0.4
     guarantee_wait_s: float = 300.0
     fetch_weight: float = 8.0
-    # renting and returning
+    # launching and returning
     ordinary_after_s: float = 1e9
     target_margin: float = 1.0
     patience_s: float = 2.0
     refused_s: float = 20.0
     keep_idle_s: float = 30.0
     surplus_idle_s: float = 8.0
-    dear_idle_s: float = 2.0
+    on_demand_idle_s: float = 2.0
     reserve: float = 1.0
     reserve_memory_s: float = 90.0
     # services
-    standing_share: float = 0.05
-    standing_floor: float = 40.0
-    standing_boots: float = 0.75
-    standing_quiet: float = 2.5
+    service_share: float = 0.05
+    service_floor: float = 40.0
+    service_boot_times: float = 0.75
+    service_quiet_heartbeats: float = 2.5
     spread_s: float = 6.0
     # failing runs
     job_fault_machines: int = 3
-    # answers to reports
+    # answers to heartbeats
     hold_s: float = 1.2
     hold_idle_s: float = 1.5
     # the balancer
--- a/bayford/scheduling/preemption.py
+++ b/bayford/scheduling/preemption.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from bayford.scheduling.model import Job, Machine, Placement
-from bayford.scheduling.quota import Share
+from bayford.scheduling.quota import TeamQuota
 
 # Weights of `delay_cost`, in expected run times of the task.
 REPEATED_STOP = 0.5
@@ -24,43 +24,44 @@
     """A running task that may be stopped, and the seconds of work that stopping it throws away."""
 
     job: Job
-    place: Placement
+    placement: Placement
     loss: float
 
 
-def may_stop(waiting: Job, running: Job, shares: list[Share], owed: bool) -> bool:
+def may_stop(waiting: Job, running: Job, quotas: list[TeamQuota], unmet_guarantee: bool) -> bool:
     """Whether PROTOCOL lets `waiting` push out a task of `running`.
 
-    `shares` must be as they will be once the stops under way are through; else two teams that both waited
-    would stop one another's tasks in turn. `owed`: it has waited long for what its team is guaranteed.
+    `quotas` must be as they will be once the stops under way are through; else two teams that both waited
+    would stop one another's tasks in turn. `unmet_guarantee`: it has waited long for what its team is
+    guaranteed.
     """
     if waiting is running:
         return False
     if waiting.spec.priority > running.spec.priority:
         return True
-    if running.standing:
+    if running.is_service:
         # Its team is beyond its guarantee for the work that ends beside it, perhaps; and a gap in one
-        # service is no better than in another. Room is rented instead.
+        # service is no better than in another. Room is launched instead.
         return False
-    return owed and waiting.team != running.team and shares[running.team].beyond
+    return unmet_guarantee and waiting.team != running.team and quotas[running.team].exceeds_guarantee
 
 
-def lost_work(job: Job, place: Placement, now: float, expected_s: float) -> float:
+def lost_work(job: Job, placement: Placement, now: float, expected_s: float) -> float:
     """Seconds of work lost by stopping now; a task close to its end is a poor victim, so that adds.
 
     A checkpointing task loses only what saving costs; others lose all they have run.
     """
-    if place.running_since is None:
+    if placement.running_since is None:
         return 0.0
-    ran = max(0.0, now - place.running_since)
-    if job.spec.checkpoint_s > 0:
-        return job.spec.save_s + 1.0
+    ran = max(0.0, now - placement.running_since)
+    if job.spec.checkpoint_interval_s > 0:
+        return job.spec.checkpoint_save_s + 1.0
     left = expected_s - ran
     near_end = 0.0 if left > 0.25 * expected_s else 0.5 * expected_s
     return ran + near_end
 
 
-def delay_cost(job: Job, place: Placement, now: float, expected_s: float, due_s: float | None) -> float:
+def delay_cost(job: Job, placement: Placement, now: float, expected_s: float, due_s: float | None) -> float:
     """What stopping the task costs its job beyond the lost work, in seconds.
 
     `due_s`: how long after its creation the job should be done, if that is said.
@@ -69,13 +70,13 @@
     and again, and a job of a thousand tasks waits for its last one. A job that has tasks waiting anyway loses
     no time by one more. Checkpointing tasks and services keep what they have done.
     """
-    if job.standing or job.spec.checkpoint_s > 0:
+    if job.is_service or job.spec.checkpoint_interval_s > 0:
         return 0.0
-    cost = REPEATED_STOP * expected_s * job.stops.get(place.task, 0)
-    ran = 0.0 if place.running_since is None else now - place.running_since
-    ends = now + max(LEAST_LEFT * expected_s, expected_s - ran)
+    cost = REPEATED_STOP * expected_s * job.preemption_counts.get(placement.task, 0)
+    ran = 0.0 if placement.running_since is None else now - placement.running_since
+    consecutive_exits = now + max(LEAST_LEFT * expected_s, expected_s - ran)
     due = math.inf if due_s is None else job.created + due_s
-    if ends > due:
+    if consecutive_exits > due:
         return cost  # it is late as it is
     share_waiting = min(1.0, len(job.waiting) / (0.5 * len(job.open) + 1.0))
     cost += expected_s * (1.0 - share_waiting)
--- a/bayford/scheduling/quota.py
+++ b/bayford/scheduling/quota.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Share:
+class TeamQuota:
     """One team's guarantee, limit and use. Without a limit `cpus_max` or `gpus_max` is infinite."""
 
     name: str
@@ -21,12 +21,12 @@
     used_cpus: float = 0.0
     used_gpus: float = 0.0
 
-    def take(self, spec: JobSpec) -> None:
+    def reserve(self, spec: JobSpec) -> None:
         """Count one open placement."""
         self.used_cpus += spec.cpus
         self.used_gpus += spec.gpus
 
-    def give(self, spec: JobSpec) -> None:
+    def release(self, spec: JobSpec) -> None:
         """A placement was closed."""
         self.used_cpus -= spec.cpus
         self.used_gpus -= spec.gpus
@@ -43,11 +43,11 @@
         count = 1 if spec.shape == ARRAY else spec.tasks
         return spec.cpus * count <= self.cpus_max + EPS and spec.gpus * count <= self.gpus_max + EPS
 
-    def room(self, spec: JobSpec) -> int:
+    def headroom(self, spec: JobSpec) -> int:
         """How many more such tasks the limit allows."""
         return self._count(spec, self.cpus_max, self.gpus_max)
 
-    def owed(self, spec: JobSpec) -> int:
+    def unmet_guarantee(self, spec: JobSpec) -> int:
         """How many more such tasks lie within the guarantee."""
         return self._count(spec, self.cpus, self.gpus)
 
@@ -60,6 +60,6 @@
         return max(0, int(most))
 
     @property
-    def beyond(self) -> bool:
+    def exceeds_guarantee(self) -> bool:
         """Whether the team borrows: it uses more than its guarantee."""
         return self.used_cpus > self.cpus + EPS or self.used_gpus > self.gpus + EPS
--- a/bayford/scheduling/tempered.py
+++ b/bayford/scheduling/tempered.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Host:
-    """A machine in the picture, as late as the picture is."""
+    """A machine in the snapshot, as late as the snapshot is."""
 
     index: int
     cpus: float
--- a/bayford/script.py
+++ b/bayford/script.py
@@ -20,7 +20,7 @@
 import starlark
 
 from bayford.config import Settings, SettingsError
-from bayford.scheduling.policy import Policy
+from bayford.scheduling.policy import Policy, setting_name
 
 MAX_BYTES = 64 * 1024
 # Names set at the top level; a misspelt setting must not pass in silence.
@@ -34,7 +34,7 @@
         "zones": list(facts.zones),
         "teams": [t.name for t in facts.teams],
         "nodes": facts.nodes,
-        "report_s": facts.workers.report_s,
+        "report_s": facts.workers.heartbeat_interval_s,
         "lease_s": facts.workers.lease_s,
         "cancel_s": facts.workers.cancel_s,
         "classes": known_classes(settings),
@@ -50,18 +50,18 @@
     """The policy that the script's globals make; SettingsError names file and line."""
     if len(text.encode()) > MAX_BYTES:
         raise SettingsError(f"{name}: longer than {MAX_BYTES} bytes")
+    settings_by_name = {setting_name(f.name): f.name for f in dataclasses.fields(Policy)}
     for number, line in enumerate(text.splitlines(), 1):
         word = _ASSIGNED.match(line)
-        if word and word[1] not in Policy.__slots__:
+        if word and word[1] not in settings_by_name:
             raise SettingsError(
                 f"{name}:{number}: {word[1]!r} is not a setting (helpers of your own begin with _)"
             )
     module = starlark.Module()
     module["site"] = _facts(settings)
-    fields = {f.name: f for f in dataclasses.fields(Policy)}
-    known = Policy()
-    for field in fields:
-        module[field] = getattr(known, field)
+    defaults = Policy()
+    for setting, field in settings_by_name.items():
+        module[setting] = getattr(defaults, field)
     try:
         dialect = starlark.Dialect.extended()
         dialect.enable_top_level_stmt = True
@@ -70,9 +70,8 @@
     except starlark.StarlarkError as bad:
         raise SettingsError(f"{name}: {str(bad).strip()}") from bad
     values: dict[str, Any] = {}
-    for field in fields:
-        before, value = getattr(known, field), module[field]
-        values[field] = _checked(f"{name}: {field}", before, value)
+    for setting, field in settings_by_name.items():
+        values[field] = _checked(f"{name}: {setting}", getattr(defaults, field), module[setting])
     policy = Policy(**values)
     _check_classes(name, policy, settings)
     _check_admission(name, policy)
@@ -120,9 +119,15 @@
     for field in ("admission_accept_share", "admission_floor"):
         _share(f"{name}: {field}", getattr(policy, field))
     above_zero = (
-        "admission_interval_s", "admission_window_s", "admission_turn_s", "admission_clear_s",
-        "admission_backlog_s", "admission_accept_share", "admission_floor", "admission_leave",
-    )  # fmt: skip
+        "admission_interval_s",
+        "admission_window_s",
+        "admission_turn_s",
+        "admission_clear_s",
+        "admission_backlog_s",
+        "admission_accept_share",
+        "admission_floor",
+        "admission_leave",
+    )
     for field in above_zero:
         if getattr(policy, field) <= 0:
             raise SettingsError(f"{name}: {field}: must be above 0")
--- a/bayford/spread/restarts.py
+++ b/bayford/spread/restarts.py
@@ -1,8 +1,8 @@
 """How often tasks have been restarted by moves, and how often their class allows it.
 
-The counts outlive an owner: one is durable before the task that it counts is stopped, under a key of its own
+The counts outlive a leader: one is durable before the task that it counts is stopped, under a key of its own
 for each job, which releases that know nothing of it pass over. A count may thus be one too high, for a move
-that an owner could not begin any more, and never too low.
+that a leader could not begin any more, and never too low.
 """
 
 from collections.abc import Mapping
--- a/bayford/spread/score.py
+++ b/bayford/spread/score.py
@@ -70,7 +70,7 @@
 
 
 class Chooser:
-    """Chooses machines for the tasks of one job, one after the other, each changing the picture."""
+    """Chooses machines for the tasks of one job, one after the other, each changing the snapshot."""
 
     def __init__(
         self,
--- a/bayford/storage/__init__.py
+++ b/bayford/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Records in the state service: encoding, the mirror of the store, group commit."""
+"""Records in the state service: encoding, the watch cache of the store, group commit."""
--- a/bayford/storage/counting_store.py
+++ b/bayford/storage/counting_store.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from bayford.storage.key_value_store import Outcome, Put, Row, Store, UnavailableError
+from bayford.storage.key_value_store import KeyValueStore, Outcome, Put, Row, UnavailableError
 
 T = TypeVar("T")
 
@@ -24,12 +24,12 @@
     conflicts: int = 0  # transactions whose conditions failed
 
 
-class CountedStore:
-    """A `Store` that passes every call on and counts it."""
+class CountingStore:
+    """A `KeyValueStore` that passes every call on and counts it."""
 
-    def __init__(self, store: Store, part: str) -> None:
-        """`part`: whose requests these are, for the log."""
-        self.part = part
+    def __init__(self, store: KeyValueStore, component: str) -> None:
+        """`component`: whose requests these are, for the log."""
+        self.component = component
         self._store = store
         self._lock = threading.Lock()
         self._counts = RequestCounts()
@@ -41,28 +41,28 @@
             return RequestCounts(counts.requests, counts.changes, counts.refused, counts.conflicts)
 
     def scan(self, prefix: str) -> tuple[list[Row], int]:
-        """See `Store`."""
+        """See `KeyValueStore`."""
         return self._counted(lambda: self._store.scan(prefix))
 
-    def commit(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
-        """See `Store`."""
-        outcome = self._counted(lambda: self._store.commit(conditions, puts), len(puts))
+    def compare_and_swap(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
+        """See `KeyValueStore`."""
+        outcome = self._counted(lambda: self._store.compare_and_swap(conditions, puts), len(puts))
         if not outcome.applied:
             with self._lock:
                 self._counts.conflicts += 1
         return outcome
 
-    def changes(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
-        """See `Store`."""
-        return self._counted(lambda: self._store.changes(prefix, since, wait_s))
+    def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
+        """See `KeyValueStore`."""
+        return self._counted(lambda: self._store.watch(prefix, since, wait_s))
 
-    def lease(self, ttl_s: float) -> int:
-        """See `Store`."""
-        return self._counted(lambda: self._store.lease(ttl_s))
+    def grant_lease(self, ttl_s: float) -> int:
+        """See `KeyValueStore`."""
+        return self._counted(lambda: self._store.grant_lease(ttl_s))
 
-    def renew(self, lease: int) -> None:
-        """See `Store`."""
-        self._counted(lambda: self._store.renew(lease))
+    def renew_lease(self, lease: int) -> None:
+        """See `KeyValueStore`."""
+        self._counted(lambda: self._store.renew_lease(lease))
 
     def _counted(self, call: Callable[[], T], changes: int = 0) -> T:
         with self._lock:
--- a/bayford/storage/key_value_store.py
+++ b/bayford/storage/key_value_store.py
@@ -41,7 +41,7 @@
 
     key: str
     value: Any
-    stamp: int
+    version: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,20 +66,20 @@
         return not self.failed
 
 
-class Store(Protocol):
+class KeyValueStore(Protocol):
     """The state service."""
 
     def scan(self, prefix: str) -> tuple[list[Row], int]:
         """All keys with the prefix, and a revision that is no newer than any of the pages read."""
 
-    def commit(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
+    def compare_and_swap(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
         """An atomic transaction; without puts it only compares."""
 
-    def changes(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
+    def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
         """Changes after `since`, waiting up to `wait_s` for the first."""
 
-    def lease(self, ttl_s: float) -> int:
+    def grant_lease(self, ttl_s: float) -> int:
         """A new lease."""
 
-    def renew(self, lease: int) -> None:
+    def renew_lease(self, lease: int) -> None:
         """Extend a lease by its full time, or raise LeaseGoneError."""
--- a/bayford/storage/records.py
+++ b/bayford/storage/records.py
@@ -2,9 +2,10 @@
 
 Two things are kept apart, since they change at different rates. What the user decides, which is the job and
 its cancellation, and that it is done, lies in one small record under `b/j/<id>`: written when the job is
-accepted, cancelled or complete, and by its stamp the one place where a cancellation and the last task's end
-are put in order. What the owner decides, which is where each task is and which are done, changes hundreds of
-times a second and lies in the ledger (`storage.ledger`), where one write carries the changes of many jobs.
+accepted, cancelled or complete, and by its version the one place where a cancellation and the last task's end
+are put in order. What the leader decides, which is where each task is and which are done, changes hundreds of
+times a second and lies in the task log (`storage.task_log`), where one write carries the changes of many
+jobs.
 """
 
 import json
@@ -19,13 +20,13 @@
 JOBS = "b/j/"
 LOG = "b/log/"
 LAYOUT = (
-    "b/layout"  # the size of a value that the ledger was laid out for; the first release knows no such key
+    "b/layout"  # the size of a value that the task log was laid out for; the first release knows no such key
 )
-MAP = "b/map"
-ADMISSION = "b/admission"  # the owner's admission level; from release 4 on
+LEADERSHIP = "b/map"
+ADMISSION = "b/admission"  # the leader's admission level; from release 4 on
 FEATURES = "b/feature/"  # what a live controller keeps to, beside its member key; from release 4 on
 ZONES = "b/zone/"  # state and losses of a zone; from release 3 on
-MOVES = "b/moves/"  # restarts by moves, a key for each job that was ever moved; from release 3 on
+MIGRATION_COUNTS = "b/moves/"  # restarts by moves, a key for each job that was ever moved; from release 3 on
 MEMBERS = "b/member/"
 RELAYS = "b/relay/"
 SUMMARIES = "b/sum/"
@@ -51,10 +52,10 @@
 
 
 class State(msgspec.Struct):
-    """A job's record and where the ledger stands with it, of one revision."""
+    """A job's record and where the task log stands with it, of one revision."""
 
     record: Record
-    stamp: int
+    version: int
     open: int = 0
     done: int = 0
 
@@ -64,9 +65,9 @@
     return JOBS + job_id
 
 
-def moves_key(job_id: str) -> str:
+def migration_counts_key(job_id: str) -> str:
     """The key of the counts of a job's restarts by moves."""
-    return MOVES + job_id
+    return MIGRATION_COUNTS + job_id
 
 
 def encode(record: Record) -> Any:
