--- a/bayford/storage/task_log.py
+++ b/bayford/storage/task_log.py
@@ -1,12 +1,12 @@
-"""The ledger: where every task is, as a log that one write extends for many jobs.
+"""The task log: where every task is, as a log that one write extends for many jobs.
 
 The state service takes few changes a second, each of a few KiB, while tasks start and end by the hundred. So
-the owner appends rows: row `n` says what became of each task that changed since row `n-1`. Rows lie under
+the leader appends rows: row `n` says what became of each task that changed since row `n-1`. Rows lie under
 `b/log/<slot>`; a slot is written again once nothing in it counts any more. To that end every row has room for
 snapshots: the state, as it was before the row, of blocks of tasks (a block is a run of one job's task
 numbers) whose news lies in the oldest rows. What a row tells of a block is dead when a later row has a
 snapshot of it; the tail is the first row in which something lives, and the rows before it are free. That
-keeps the log short, and so a new owner's reading, whatever the number of jobs.
+keeps the log short, and so a new leader's reading, whatever the number of jobs.
 
 The size of a block is part of the layout: a snapshot names its block by number. It follows from the size
 that a value had when the log was begun, and stays when the state service takes less. Then a snapshot may not
@@ -16,9 +16,9 @@
 
 Rows assign, they don't add: reading one again, or reading more than is needed, changes nothing.
 
-Exactly once: a row's write names the stamp of the slot that it takes, and the slot that row `n` takes follows
-from the rows before alone. So of two writes of row `n`, one given up on and one that follows, only one is
-applied; whoever was second conflicts, reads the row and goes on from there.
+Exactly once: a row's write names the version of the slot that it takes, and the slot that row `n` takes
+follows from the rows before alone. So of two writes of row `n`, one given up on and one that follows, only
+one is applied; whoever was second conflicts, reads the row and goes on from there.
 """
 
 from collections import deque
@@ -32,7 +32,7 @@
 from bayford.storage.records import LOG, UnreadableError
 
 Block = tuple[str, int]  # job, number of the run of tasks
-Place = tuple[int, str, int]  # attempt, machine, session
+Place = tuple[int, str, int]  # attempt, machine, epoch
 
 OPEN_BYTES = 24  # a task's entry in a row, at the longest that is usual
 NAME_BYTES = 16  # and its machine's name
@@ -47,7 +47,7 @@
     n: int
     t: int  # the tail when it was written
     a: int  # the next attempt number
-    m: list[tuple[str, int]] = []  # machine and session
+    m: list[tuple[str, int]] = []  # machine and epoch
     o: dict[str, list[int]] = {}  # tasks placed
     d: dict[str, list[int]] = {}  # tasks done
     c: dict[str, list[int]] = {}  # tasks neither on a machine any more nor done
@@ -70,7 +70,7 @@
     """A row of the window: where it lies, and the blocks of which it tells something."""
 
     slot: str
-    stamp: int
+    version: int
     blocks: list[Block]
 
 
@@ -101,10 +101,10 @@
     return max(LEAST_BLOCK, (value_bytes - HEAD_BYTES) // 3 // (OPEN_BYTES + NAME_BYTES))
 
 
-class Ledger:
+class TaskLog:
     """The state that the rows add up to. Kept by every controller, row by row as they come in.
 
-    Not locked: its user, the mirror, does that.
+    Not locked: its user, the watch cache, does that.
     """
 
     def __init__(self, layout_bytes: int) -> None:
@@ -119,38 +119,38 @@
         self.tail = 0
         self.next_attempt = 1
         self.jobs: dict[str, Progress] = {}
-        self.at: dict[str, dict[tuple[str, int], tuple[int, int]]] = {}  # machine: task -> attempt, session
+        self.at: dict[str, dict[tuple[str, int], tuple[int, int]]] = {}  # machine: task -> attempt, epoch
         self.window: dict[int, Row] = {}
-        self.free: deque[tuple[str, int]] = deque()  # slots to write again, with their stamps
+        self.free: deque[tuple[str, int]] = deque()  # slots to write again, with their versions
         self._early: dict[int, tuple[str, int, Value]] = {}
 
     # -- reading ---------------------------------------------------------------------------------------
 
-    def take(self, slot: str, stamp: int, raw: Any) -> None:
+    def apply_row(self, slot: str, version: int, raw: Any) -> None:
         """A row came in; rows that overtook others wait for them."""
         value = _decode(slot, raw)
         if value.n >= self.next:
-            self._early[value.n] = (slot, stamp, value)
+            self._early[value.n] = (slot, version, value)
         while self.next in self._early:
             self._apply(*self._early.pop(self.next))
 
     def rebuild(self, rows: Iterable[tuple[str, int, Any]]) -> None:
         """Everything anew, from all the rows of one revision."""
-        found = sorted(((_decode(k, raw), k, stamp) for k, stamp, raw in rows), key=lambda row: row[0].n)
+        found = sorted(((_decode(k, raw), k, version) for k, version, raw in rows), key=lambda row: row[0].n)
         self.clear()
         if not found:
             return
         tail = found[-1][0].t
         self.next = self.tail = tail
-        for value, slot, stamp in found:
+        for value, slot, version in found:
             if value.n < tail:
-                self.free.append((slot, stamp))
+                self.free.append((slot, version))
                 continue
             if value.n != self.next:
                 raise UnreadableError(f"the ledger lacks row {self.next}")
-            self._apply(slot, stamp, value, whole=True)
+            self._apply(slot, version, value, whole=True)
 
-    def _apply(self, slot: str, stamp: int, value: Value, whole: bool = False) -> None:
+    def _apply(self, slot: str, version: int, value: Value, whole: bool = False) -> None:
         blocks: set[Block] = set()
         self._apply_snapshots(value, blocks, whole)
         self._apply_changes(value, blocks)
@@ -161,7 +161,7 @@
                     self._close(job, old, task)
         if self.free and self.free[0][0] == slot:
             self.free.popleft()
-        self.window[value.n] = Row(slot, stamp, list(blocks))
+        self.window[value.n] = Row(slot, version, list(blocks))
         self.next_attempt = max(self.next_attempt, value.a)
         self.next = value.n + 1
         self._move_tail(value.t)
@@ -209,7 +209,7 @@
         for n in range(self.tail, min(tail, self.next)):
             row = self.window.pop(n, None)
             if row is not None:
-                self.free.append((row.slot, row.stamp))
+                self.free.append((row.slot, row.version))
         self.tail = max(self.tail, tail)
 
     def _progress(self, job: str) -> Progress:
@@ -219,9 +219,9 @@
         return progress
 
     def _open(self, job: str, progress: Progress, task: int, attempt: int, where: tuple[str, int]) -> None:
-        machine, session = where
-        progress.open[task] = (attempt, machine, session)
-        self.at.setdefault(machine, {})[(job, task)] = (attempt, session)
+        machine, epoch = where
+        progress.open[task] = (attempt, machine, epoch)
+        self.at.setdefault(machine, {})[(job, task)] = (attempt, epoch)
 
     def _close(self, job: str, progress: Progress, task: int) -> None:
         place = progress.open.pop(task, None)
@@ -233,7 +233,7 @@
 
     # -- writing ---------------------------------------------------------------------------------------
 
-    def dead_before(self) -> int:
+    def reclaimable_tail(self) -> int:
         """The tail that the next row may name: no row before it tells anything that counts."""
         n = self.tail
         while n < self.next - 1:
@@ -245,8 +245,8 @@
             n += 1
         return n
 
-    def slots(self, count: int) -> list[tuple[str, int]]:
-        """Where the next rows go, with the stamps that they replace: free slots, oldest first, then new."""
+    def next_slots(self, count: int) -> list[tuple[str, int]]:
+        """Where the next rows go, with the versions that they replace: free slots, oldest first, then new."""
         out = [self.free[i] for i in range(min(count, len(self.free)))]
         known = len(self.window) + len(self.free)
         return out + [(f"{LOG}{known + i}", 0) for i in range(count - len(out))]
@@ -282,28 +282,28 @@
                     yield block, n
 
 
-class RowMaker:
+class RowBuilder:
     """One row in the making; says how many bytes are left in its value."""
 
-    def __init__(self, ledger: Ledger, n: int, tail: int, next_attempt: int, row_bytes: int) -> None:
-        """`row_bytes`: what a value may have now, whatever the ledger was laid out for."""
+    def __init__(self, task_log: TaskLog, n: int, tail: int, next_attempt: int, row_bytes: int) -> None:
+        """`row_bytes`: what a value may have now, whatever the task log was laid out for."""
         self.value = Value(n, tail, next_attempt)
-        self._ledger = ledger
+        self._task_log = task_log
         self._where: dict[tuple[str, int], int] = {}
         self.left = row_bytes - HEAD_BYTES
         # Shorter rows, more of them.
-        self._keep = KEEP_ROWS * max(1, ledger.layout_bytes // row_bytes)
-        self._spare = row_bytes // 3 if len(ledger.window) > 2 * self._keep else 0
+        self._keep = KEEP_ROWS * max(1, task_log.layout_bytes // row_bytes)
+        self._spare = row_bytes // 3 if len(task_log.window) > 2 * self._keep else 0
 
-    def _index(self, machine: str, session: int) -> int:
-        index = self._where.get((machine, session))
+    def _index(self, machine: str, epoch: int) -> int:
+        index = self._where.get((machine, epoch))
         if index is None:
-            index = self._where[(machine, session)] = len(self.value.m)
-            self.value.m.append((machine, session))
-            self.left -= len(machine) + len(str(session)) + 6
+            index = self._where[(machine, epoch)] = len(self.value.m)
+            self.value.m.append((machine, epoch))
+            self.left -= len(machine) + len(str(epoch)) + 6
         return index
 
-    def room(self, job: str, machine: str = "") -> bool:
+    def has_space(self, job: str, machine: str = "") -> bool:
         """Whether one more change of a task surely fits.
 
         Once the log is long, a third of each row is left to snapshots, or it would grow for ever; of the
@@ -313,28 +313,28 @@
         spare = self._spare if value.o or value.d or value.c or value.x else 0
         return self.left - spare >= OPEN_BYTES + len(job) + len(machine) + 32
 
-    def opened(self, job: str, task: int, attempt: int, machine: str, session: int) -> None:
+    def add_open(self, job: str, task: int, attempt: int, machine: str, epoch: int) -> None:
         """The task is on a machine."""
-        self._place(self._list(self.value.o, job), task, (attempt, machine, session))
+        self._place(self._list(self.value.o, job), task, (attempt, machine, epoch))
 
-    def done(self, job: str, task: int) -> None:
+    def add_done(self, job: str, task: int) -> None:
         """The task is done."""
         self._list(self.value.d, job).append(task)
         self.left -= len(str(task)) + 1
 
-    def closed(self, job: str, task: int) -> None:
+    def add_closed(self, job: str, task: int) -> None:
         """The task is on no machine, and not done."""
         self._list(self.value.c, job).append(task)
         self.left -= len(str(task)) + 1
 
-    def over(self, job: str) -> None:
+    def add_over(self, job: str) -> None:
         """Nothing of the job is left to follow."""
         self.value.x.append(job)
         self.left -= len(job) + 3
 
     def _place(self, flat: list[int], task: int, place: Place) -> None:
-        attempt, machine, session = place
-        flat += (task, attempt, self._index(machine, session))
+        attempt, machine, epoch = place
+        flat += (task, attempt, self._index(machine, epoch))
         self.left -= len(str(task)) + len(str(attempt)) + 7
 
     def _list(self, into: dict[str, list[int]], job: str) -> list[int]:
@@ -344,19 +344,19 @@
             self.left -= len(job) + 8
         return found
 
-    def snapshots(self, changing: Mapping[str, Collection[int]] = MappingProxyType({})) -> None:
+    def add_snapshots(self, changing: Mapping[str, Collection[int]] = MappingProxyType({})) -> None:
         """Fill what is left with what the oldest rows tell: snapshots of blocks, or the single tasks of a
         block that does not fit. `changing`: the tasks of which this transaction tells anyhow."""
-        ledger = self._ledger
-        for (job, number), row in ledger.oldest_blocks(self._keep):
-            progress = ledger.jobs[job]
-            first = number * ledger.block
-            tasks = range(first, first + ledger.block)
+        task_log = self._task_log
+        for (job, number), row in task_log.oldest_blocks(self._keep):
+            progress = task_log.jobs[job]
+            first = number * task_log.block
+            tasks = range(first, first + task_log.block)
             done = ranges(t for t in tasks if t in progress.done)
             placed = [(t, progress.open[t]) for t in tasks if t in progress.open]
             need = sum(len(str(t)) + 1 for t in done) + len(job) + 24
             if need + sum(self._placing(*entry) for entry in placed) > self.left:
-                if not self._again(job, ledger.telling((job, number), row), changing.get(job, ())):
+                if not self._again(job, task_log.telling((job, number), row), changing.get(job, ())):
                     return
                 continue
             flat: list[int] = []
@@ -371,7 +371,7 @@
 
     def _again(self, job: str, tasks: Iterable[int], changing: Collection[int]) -> bool:
         """Tell again of these tasks, as they are before this transaction; False once the row is full."""
-        progress = self._ledger.jobs[job]
+        progress = self._task_log.jobs[job]
         for task in tasks:
             if task in changing:
                 continue
@@ -380,12 +380,12 @@
             if self.left < (8 if place is None else self._placing(task, place)) + len(job) + 10:
                 return False
             if place is None:
-                self.done(job, task)
+                self.add_done(job, task)
             else:
-                self.opened(job, task, *place)
+                self.add_open(job, task, *place)
         return True
 
-    def finish(self) -> dict[str, Any]:
+    def build(self) -> dict[str, Any]:
         """The value to write, empty fields left out."""
         raw = msgspec.to_builtins(self.value)
         return {k: v for k, v in raw.items() if v or k in ("n", "t", "a")}
--- a/bayford/transport/concurrency_limit.py
+++ b/bayford/transport/concurrency_limit.py
@@ -17,7 +17,7 @@
 DRIFT = 1.05  # how much the baseline may rise in a window, should the machine have become slower for good
 
 
-class Limit:
+class ConcurrencyLimit:
     """At most `limit` requests in progress; `limit` moves between `least` and `most`."""
 
     def __init__(
--- a/bayford/transport/http_client.py
+++ b/bayford/transport/http_client.py
@@ -10,7 +10,7 @@
 IDLE_S = 20.0
 
 
-class Client:
+class HttpClient:
     """Keep-alive connections to one address."""
 
     def __init__(self, host: str, port: int, most_idle: int = 8, connect_s: float = 1.0) -> None:
--- a/bayford/transport/http_handlers.py
+++ b/bayford/transport/http_handlers.py
@@ -6,27 +6,27 @@
 from bayford.coordination.controller import Controller
 from bayford.protocol import jobs, mesh, workers
 from bayford.scheduling.model import URGENT
-from bayford.transport.concurrency_limit import Limit
+from bayford.transport.concurrency_limit import ConcurrencyLimit
 from bayford.transport.http_server import Request, Response
 
 NOT_URGENT_SHARE = 0.75  # of the requests in progress, with admission on
 
 
-class Front:
+class UserHandler:
     """Users and workers."""
 
-    def __init__(self, controller: Controller, limit: Limit) -> None:
+    def __init__(self, controller: Controller, limit: ConcurrencyLimit) -> None:
         self._controller = controller
         self._limit = limit
-        # A worker sends again within a quarter more than `report_s`, and after 4 s without an answer it has
-        # left. What stays silent for longer is what a cut or a dead machine left behind; a fleet that comes
-        # back from a cut must not find its own old connections in its way.
-        self._worker_idle_s = 2.0 * controller.settings.facts.workers.report_s + 4.0
+        # A worker sends again within a quarter more than `heartbeat_interval_s`, and after 4 s without an
+        # answer it has left. What stays silent for longer is what a cut or a dead machine left behind; a
+        # fleet that comes back from a cut must not find its own old connections in its way.
+        self._worker_idle_s = 2.0 * controller.settings.facts.workers.heartbeat_interval_s + 4.0
 
     def handle(self, request: Request) -> Response:
         """Route one request. Reports and health checks are never shed behind users."""
         path = request.path.partition("?")[0]
-        if path == workers.REPORT_PATH:
+        if path == workers.HEARTBEAT_PATH:
             if request.method != "POST":
                 return _wrong_method("POST")
             return self._report(request)
@@ -42,10 +42,10 @@
 
     def _report(self, request: Request) -> Response:
         try:
-            report = workers.parse_report(request.body)
+            heartbeat = workers.parse_heartbeat(request.body)
         except jobs.InvalidError as bad:
             return Response(400, jobs.error(str(bad)))
-        reply = self._controller.report(report, request.after, hold=not request.crowded)
+        reply = self._controller.heartbeat(heartbeat, request.after, hold=not request.crowded)
         # A fleet of more machines than there may be connections takes turns: each is answered at once and
         # makes room. Otherwise those that came last would find no place until a lease has run out.
         return Response(reply.status, reply.body, idle_s=0.0 if request.crowded else self._worker_idle_s)
@@ -104,7 +104,7 @@
     return Response(405, jobs.error(f"use {allowed}"), (("Allow", allowed),))
 
 
-class Mesh:
+class PeerHandler:
     """The other controllers."""
 
     def __init__(self, controller: Controller) -> None:
@@ -119,6 +119,6 @@
                 told = mesh.decode_cancelled(request.body)
             except (msgspec.ValidationError, msgspec.DecodeError) as bad:
                 return Response(400, jobs.error(str(bad)))
-            self._controller.hear_cancelled(told)
+            self._controller.on_cancellations(told)
             return Response(200, b"{}")
         return Response(404, jobs.error("no such path"))
--- a/bayford/transport/http_server.py
+++ b/bayford/transport/http_server.py
@@ -17,15 +17,26 @@
 MAX_BODY = 64 * 1024
 MAX_LINE = 8 * 1024
 MAX_HEADERS = 64
-BACKLOG = 4096  # connections that wait to be accepted: a whole fleet, right after a takeover
+BACKLOG = 4096  # connections that wait to be accepted: a whole fleet, right after a failover
 
 REASONS = {
-    200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    408: "Request Timeout", 411: "Length Required", 413: "Content Too Large", 421: "Misdirected Request",
-    422: "Unprocessable Content", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
-    500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable",
+    200: "OK",
+    201: "Created",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    411: "Length Required",
+    413: "Content Too Large",
+    421: "Misdirected Request",
+    422: "Unprocessable Content",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
     505: "HTTP Version Not Supported",
-}  # fmt: skip
+}
 
 
 @dataclass(slots=True)
@@ -65,7 +76,7 @@
     long as everything else here, and a controller has a fraction of a core, so the lines are read here."""
 
     protocol_version = "HTTP/1.1"
-    server: "Server"  # type: ignore[assignment]
+    server: "HttpServer"  # type: ignore[assignment]
     disable_nagle_algorithm = True
     timeout = IDLE_S
 
@@ -177,7 +188,7 @@
         return at
 
 
-class Server:
+class HttpServer:
     """Listens at an address and gives every request to `handle`; at most `most` connections at once."""
 
     def __init__(self, host: str, port: int, handle: Handle, most: int, name: str) -> None:
--- a/standins/admission_history.py
+++ b/standins/admission_history.py
@@ -31,7 +31,7 @@
 
     def take(self, row: Row) -> None:
         if row.key == records.ADMISSION:
-            self.level, self.level_stamp = row.value, row.stamp
+            self.level, self.level_stamp = row.value, row.version
         elif row.value is None:
             self.rows.pop(row.key, None)
         else:
@@ -71,14 +71,14 @@
 
 def accepted_under(changes: Iterable[Row]) -> list[Told]:
     """Of each job the level that was stored when its record was first written, as if it had been told."""
-    stamp = 0
+    version = 0
     found: dict[str, Told] = {}
     for row in changes:
         if row.key == records.ADMISSION:
-            stamp = row.stamp
+            version = row.version
         elif row.key.startswith(records.JOBS):
             job_id = row.key[len(records.JOBS) :]
-            found.setdefault(job_id, Told("", job_id, 201, stamp))
+            found.setdefault(job_id, Told("", job_id, 201, version))
     return list(found.values())
 
 
@@ -88,9 +88,9 @@
     accepted_at: dict[str, int] = {}
     for row in changes:
         if row.key == records.ADMISSION:
-            levels[row.stamp] = _level(row.value)
+            levels[row.version] = _level(row.value)
         elif row.key.startswith(records.JOBS):
-            accepted_at.setdefault(row.key[len(records.JOBS) :], row.stamp)
+            accepted_at.setdefault(row.key[len(records.JOBS) :], row.version)
     out = []
     for answer in told:
         if answer.status != 429:
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -47,8 +47,8 @@
             if count <= 0:
                 return Answer(503, {"error": "no capacity"})
             kind = self._kinds[body["build"]]
-            rented = [self._fleet.begin(kind, body["yard"], body["loaners"]) for _ in range(count)]
-            self._hired[body["hire"]] = [worker.name for worker in rented]
+            launched_at = [self._fleet.begin(kind, body["yard"], body["loaners"]) for _ in range(count)]
+            self._hired[body["hire"]] = [worker.name for worker in launched_at]
         return Answer(200, {"docks": self._hired[body["hire"]]})
 
     def _list(self, query: dict[str, str]) -> Answer:
@@ -59,6 +59,11 @@
 
     def _row(self, worker: Worker) -> dict[str, Any]:
         return {
-            "id": worker.name, "addr": worker.address, "build": worker.kind.label, "yard": worker.zone,
-            "loaners": worker.spot, "phase": "running", "held_s": worker.age_s(),
-        }  # fmt: skip
+            "id": worker.name,
+            "addr": worker.address,
+            "build": worker.kind.label,
+            "yard": worker.zone,
+            "loaners": worker.spot,
+            "phase": "running",
+            "held_s": worker.age_s(),
+        }
--- a/standins/controllers.py
+++ b/standins/controllers.py
@@ -56,9 +56,12 @@
         with (self._folder / f"{name}.log").open("ab") as log:
             self._running[name] = subprocess.Popen(
                 [*command, "--script", str(self._script)],
-                cwd=ROOT, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
+                cwd=ROOT,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
                 env=os.environ | {"PYTHONPATH": os.pathsep.join((str(ROOT), str(ROOT / "target" / "deps")))},
-            )  # fmt: skip
+            )
 
     def kill(self, name: str) -> None:
         """End one without notice."""
--- a/standins/history.py
+++ b/standins/history.py
@@ -13,18 +13,18 @@
     for event in history:
         attempt = (event.number, event.machine)
         if event.what == "running":
-            if event.part in running:
-                out.append(event.part)
-            running[event.part] = attempt
-        elif running.get(event.part) == attempt:
-            del running[event.part]
+            if event.task_id in running:
+                out.append(event.task_id)
+            running[event.task_id] = attempt
+        elif running.get(event.task_id) == attempt:
+            del running[event.task_id]
     return out
 
 
 def not_done_once(history: Iterable[Event], parts: Iterable[str]) -> list[str]:
     """Of these tasks the ones that did not complete, or completed more than once."""
-    done = Counter(event.part for event in history if event.what == "done")
-    return [part for part in parts if done[part] != 1]
+    done = Counter(event.task_id for event in history if event.what == "done")
+    return [task_id for task_id in parts if done[task_id] != 1]
 
 
 def done_again(history: Iterable[Event]) -> list[str]:
@@ -34,11 +34,11 @@
     out = []
     for event in history:
         if event.what == "done":
-            if event.part in kept:
-                out.append(event.part)
-            kept.add(event.part)
+            if event.task_id in kept:
+                out.append(event.task_id)
+            kept.add(event.task_id)
         elif event.what == "forgotten":
-            kept.discard(event.part)
+            kept.discard(event.task_id)
     return out
 
 
@@ -55,7 +55,7 @@
     there = set(machines)
     numbers: dict[str, list[int]] = {job: [] for job in jobs}
     for event in history:
-        job = event.part.partition("/")[0]
+        job = event.task_id.partition("/")[0]
         if event.machine in there and event.what == "running" and job in numbers:
             numbers[job].append(event.number)
     out = []
--- a/standins/http_service.py
+++ b/standins/http_service.py
@@ -67,7 +67,7 @@
                 parts = urlsplit(self.path)
                 call = Call(
                     self.command, parts.path, dict(parse_qsl(parts.query)), json.loads(raw) if raw else None
-                )  # fmt: skip
+                )
                 answer = service.answer(call, handle)
                 if answer is None:
                     self.close_connection = True
--- a/standins/site.py
+++ b/standins/site.py
@@ -65,7 +65,7 @@
         facts = FACTS.format(teams=told, report_s=lease_s / 6, lease_s=lease_s, cancel_s=lease_s * 3.5)
         self.controllers = Controllers(folder, names, facts, script)
         self.state = state or StateService()
-        self.fleet = WorkerFleet(self.controllers.fronts, report_s=lease_s / 6, lease_s=lease_s)
+        self.fleet = WorkerFleet(self.controllers.fronts, heartbeat_interval_s=lease_s / 6, lease_s=lease_s)
         self.cloud = Cloud(self.fleet, [KIND], ZONES, capacity)
 
     def __enter__(self) -> "Site":
@@ -85,10 +85,10 @@
         """Start a controller, or start it again."""
         self.controllers.start(name, self.state.address, self.cloud.address)
 
-    def owner(self) -> str | None:
-        """The controller that owns the teams, by the map in the state service."""
-        owners = self.state.values("b/map").get("b/map", {}).get("owners")
-        return next(iter(owners.values()), None) if isinstance(owners, dict) else None
+    def leader(self) -> str | None:
+        """The controller that owns the teams, by the leadership record in the state service."""
+        leaders = self.state.values("b/map").get("b/map", {}).get("owners")
+        return next(iter(leaders.values()), None) if isinstance(leaders, dict) else None
 
     def submit(self, job: dict[str, Any], run_s: float) -> None:
         """A user uploads a job, whose tasks run for so long, and submits it."""
@@ -107,11 +107,27 @@
 def job(number: int, image: str, tasks: int, job_class: str = "hot-builds", **fields: Any) -> dict[str, Any]:
     """A submission."""
     return {
-        "id": f"req-{number:06d}", "lane": job_class, "crew": "builders", "shape": "batch", "rank": "urgent",
-        "parts": tasks, "cpus": 1.0, "cards": 0.0, "mem_gb": 2.0, "bundle": image, "size_gb": 0.5,
-        "builds": None, "yard": None, "together": False, "apart": False, "loaners": True, "guess_s": 30.0,
-        "bookmark_s": 0.0, "stash_s": 0.0, "due_s": None,
-    } | fields  # fmt: skip
+        "id": f"req-{number:06d}",
+        "lane": job_class,
+        "crew": "builders",
+        "shape": "batch",
+        "rank": "urgent",
+        "parts": tasks,
+        "cpus": 1.0,
+        "cards": 0.0,
+        "mem_gb": 2.0,
+        "bundle": image,
+        "size_gb": 0.5,
+        "builds": None,
+        "yard": None,
+        "together": False,
+        "apart": False,
+        "loaners": True,
+        "guess_s": 30.0,
+        "bookmark_s": 0.0,
+        "stash_s": 0.0,
+        "due_s": None,
+    } | fields
 
 
 def await_state(holds: Callable[[], bool], what: str, most_s: float = 120.0) -> None:
--- a/standins/state_service.py
+++ b/standins/state_service.py
@@ -1,4 +1,4 @@
-"""The state service by its page: keys with stamps, transactions, leases, changes."""
+"""The state service by its page: keys with versions, transactions, leases, changes."""
 
 import math
 import threading
@@ -31,7 +31,7 @@
 @dataclass
 class _Row:
     value: Any
-    stamp: int
+    version: int
     lease: int | None
 
 
@@ -92,7 +92,7 @@
             row = self._rows.get(key)
             if row is None:
                 return Answer(404, {"epoch": self.epoch})
-            return Answer(200, {"path": key, "v": row.value, "stamp": row.stamp, "permit": row.lease})
+            return Answer(200, {"path": key, "v": row.value, "stamp": row.version, "permit": row.lease})
 
     def _scan(self, query: dict[str, str]) -> Answer:
         limit = int(query.get("limit", 1000))
@@ -104,7 +104,7 @@
                 if key.startswith(query.get("prefix", "")) and key > query.get("since", "")
             )
             rows = [
-                {"path": key, "v": self._rows[key].value, "stamp": self._rows[key].stamp}
+                {"path": key, "v": self._rows[key].value, "stamp": self._rows[key].version}
                 for key in keys[:limit]
             ]
             return Answer(200, {"rows": rows, "more": len(keys) > limit, "epoch": self.epoch})
@@ -118,7 +118,7 @@
             failed = [
                 w["path"]
                 for w in body.get("when", [])
-                if (self._rows[w["path"]].stamp if w["path"] in self._rows else 0) != w["stamp"]
+                if (self._rows[w["path"]].version if w["path"] in self._rows else 0) != w["stamp"]
             ]
             if failed:
                 return Answer(409, {"failed": failed, "epoch": self.epoch})
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -26,10 +26,17 @@
     def catalog_row(self, zones: list[str]) -> dict[str, Any]:
         """As the catalog has it."""
         return {
-            "label": self.label, "cpus": self.cpus, "cards": 0, "mem_gb": self.mem_gb, "cache_gb": 100.0,
-            "fetch_gb_per_s": self.fetch_gb_per_s, "rate": self.rate, "market_price": self.rate / 3,
-            "boot_s": 1.0, "yards": zones,
-        }  # fmt: skip
+            "label": self.label,
+            "cpus": self.cpus,
+            "cards": 0,
+            "mem_gb": self.mem_gb,
+            "cache_gb": 100.0,
+            "fetch_gb_per_s": self.fetch_gb_per_s,
+            "rate": self.rate,
+            "market_price": self.rate / 3,
+            "boot_s": 1.0,
+            "yards": zones,
+        }
 
 
 @dataclass
@@ -40,44 +47,44 @@
     mute: bool = False  # it reaches no controller
     hung: bool = False  # it does nothing at all
     fails: bool = False  # every task that it starts fails
-    delay_s: float = 0.0  # before each report
-    lose_answers: int = 0  # so many answers to its reports don't arrive
-    notice_s: float | None = None  # the cloud is about to take it
+    delay_s: float = 0.0  # before each heartbeat
+    lose_answers: int = 0  # so many answers to its heartbeats don't arrive
+    reclaim_notice_s: float | None = None  # the cloud is about to take it
 
 
 @dataclass
 class Attempt:
     """A task attempt on a worker."""
 
-    part: str
+    task_id: str
     number: int
     phase: str = "pulling"
     cause: str | None = None
     since: float = 0.0  # when the phase began
 
     def state(self) -> dict[str, Any]:
-        """As a report has it."""
-        return {"part": self.part, "try": self.number, "phase": self.phase, "cause": self.cause}
+        """As a heartbeat has it."""
+        return {"part": self.task_id, "try": self.number, "phase": self.phase, "cause": self.cause}
 
 
 @dataclass(frozen=True)
 class Event:
     """Something that became of an attempt; the order of events is their order in the history."""
 
-    part: str
+    task_id: str
     number: int
     machine: str
-    what: str  # running, done, error, halted, lost, or forgotten: it had ended, and nobody has reaped it
+    what: str  # running, done, error, stopped, lost, or forgotten: it had ended, and nobody has reaped it
     at: float = field(default=0.0, compare=False)  # on the steady clock
 
 
 class WorkerFleet:
     """All workers, the jobs that their users have uploaded, and the history of what ran."""
 
-    def __init__(self, controllers: dict[str, str], report_s: float, lease_s: float) -> None:
+    def __init__(self, controllers: dict[str, str], heartbeat_interval_s: float, lease_s: float) -> None:
         """`controllers`: front addresses by name."""
         self.controllers = controllers
-        self.report_s = report_s
+        self.heartbeat_interval_s = heartbeat_interval_s
         self.lease_s = lease_s
         self.jobs: dict[str, dict[str, Any]] = {}
         self.run_s: dict[str, float] = {}  # how long each task of a job runs
@@ -135,9 +142,9 @@
         self.spot = spot
         self.images = set(images)
         self.controls = WorkerControls()
-        self.session = 1
-        self.tick = 0
-        self.token = 0
+        self.epoch = 1
+        self.sequence = 0
+        self.fencing_token = 0
         self.tasks: dict[tuple[str, int], Attempt] = {}
         self.at = next(iter(fleet.controllers))
         self._began = self._answered = time.monotonic()
@@ -164,7 +171,7 @@
         self._service.controls.down = refuse
 
     def age_s(self) -> float:
-        """Since it was rented."""
+        """Since it was launched."""
         return time.monotonic() - self._began
 
     def used_cpus(self) -> float:
@@ -173,18 +180,18 @@
             return float(sum(self._job(a)["cpus"] for a in self.tasks.values() if a.phase != "ended"))
 
     def _job(self, attempt: Attempt) -> dict[str, Any]:
-        return self.fleet.jobs[attempt.part.partition("/")[0]]
+        return self.fleet.jobs[attempt.task_id.partition("/")[0]]
 
     def _run(self) -> None:
-        reported = 0.0
+        registered = 0.0
         while not self._over.wait(STEP_S):
             if self.controls.hung:
                 continue
             with self._lock:
                 self._go_on()
             now = time.monotonic()
-            if now - reported >= (0.5 if self._changed else self.fleet.report_s):
-                reported = now
+            if now - registered >= (0.5 if self._changed else self.fleet.heartbeat_interval_s):
+                registered = now
                 self._changed = False
                 self._report()
 
@@ -194,7 +201,7 @@
         now = time.monotonic()
         if now - self._answered > self.fleet.lease_s:
             self._lose_all()
-            self.session += 1
+            self.epoch += 1
             self._answered = now
             self._changed = True
         for attempt in self.tasks.values():
@@ -216,13 +223,13 @@
         self._changed = True
         what = phase if phase == "running" else str(attempt.cause)
         if what in ("running", "done", "halted", "error"):
-            self.fleet.history.append(Event(attempt.part, attempt.number, self.name, what, now))
+            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, what, now))
 
     def _lose_all(self) -> None:
         now = time.monotonic()
         for attempt in self.tasks.values():
             what = "forgotten" if attempt.phase == "ended" else "lost"
-            self.fleet.history.append(Event(attempt.part, attempt.number, self.name, what, now))
+            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, what, now))
         self.tasks.clear()
 
     def _obey(self, order: dict[str, Any]) -> None:
@@ -231,8 +238,8 @@
         now = time.monotonic()
         if order["verb"] == "start" and have is None:
             attempt = Attempt(order["part"], order["try"], since=now)
-            job = self.fleet.jobs.get(attempt.part.partition("/")[0])
-            busy = any(a.part == attempt.part and a.phase != "ended" for a in self.tasks.values())
+            job = self.fleet.jobs.get(attempt.task_id.partition("/")[0])
+            busy = any(a.task_id == attempt.task_id and a.phase != "ended" for a in self.tasks.values())
             if job is None or busy:
                 attempt.phase, attempt.cause = "ended", "busy" if job else "unknown"
             elif self.used_cpus() + job["cpus"] > self.kind.cpus + 1e-6:
@@ -251,19 +258,26 @@
     # -- the protocol ----------------------------------------------------------------------------------
 
     def _body(self) -> dict[str, Any]:
-        self.tick += 1
+        self.sequence += 1
         return {
-            "dock": self.name, "addr": self.address, "build": self.kind.label, "yard": self.zone,
-            "loaners": self.spot, "shift": self.session, "tick": self.tick, "baton": self.token,
-            "recall_s": self.controls.notice_s, "parts": [a.state() for a in self.tasks.values()],
-        }  # fmt: skip
+            "dock": self.name,
+            "addr": self.address,
+            "build": self.kind.label,
+            "yard": self.zone,
+            "loaners": self.spot,
+            "shift": self.epoch,
+            "tick": self.sequence,
+            "baton": self.fencing_token,
+            "recall_s": self.controls.reclaim_notice_s,
+            "parts": [a.state() for a in self.tasks.values()],
+        }
 
     def _serve(self, call: Call) -> Answer:
         with self._lock:
             if call.path == "/commands" and not self.controls.hung:
-                if call.body["baton"] < self.token or call.body["shift"] != self.session:
+                if call.body["baton"] < self.fencing_token or call.body["shift"] != self.epoch:
                     return Answer(409, self._body())
-                self.token = call.body["baton"]
+                self.fencing_token = call.body["baton"]
                 for order in call.body["orders"]:
                     self._obey(order)
             return Answer(200, self._body())
@@ -274,7 +288,7 @@
             time.sleep(self.controls.delay_s)
         with self._lock:
             body = self._body()
-            session = self.session
+            epoch = self.epoch
         sent = time.monotonic()
         status, answer = 0, b""
         if not self.controls.mute and node not in self.controls.cut_from:
@@ -283,7 +297,7 @@
             self.controls.lose_answers -= 1
             return
         if status == 200:
-            self._take(json.loads(answer), sent, session)
+            self._take(json.loads(answer), sent, epoch)
             return
         named = json.loads(answer).get("foreman") if status == 421 else None
         names = list(self.fleet.controllers)
@@ -294,13 +308,13 @@
             self._over.wait(1.0)
         self._changed = True
 
-    def _take(self, answer: dict[str, Any], sent: float, session: int) -> None:
+    def _take(self, answer: dict[str, Any], sent: float, epoch: int) -> None:
         with self._lock:
-            if session != self.session or answer.get("baton", -1) < self.token:
+            if epoch != self.epoch or answer.get("baton", -1) < self.fencing_token:
                 return
-            if answer["baton"] > self.token:
+            if answer["baton"] > self.fencing_token:
                 self._changed = True
-            self.token = answer["baton"]
+            self.fencing_token = answer["baton"]
             self._answered = max(self._answered, sent)
             for order in answer["orders"]:
                 self._obey(order)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from bayford import cli
-from bayford.admission import choice, features, report
+from bayford.admission import choice, features, level_report
 from bayford.admission.allotment import Allotment, Floors
 from bayford.admission.choice import decide, levels_until, most_levels, position
 from bayford.admission.control import BACKLOG, SUBMISSIONS, AdmissionTimes, LevelControl, Load
@@ -30,14 +30,14 @@
 )
 from bayford.admission.load import AcceptanceCapacity, Rates
 from bayford.config import split_address
-from bayford.coordination.api.acceptance_rate import AcceptancePace
-from bayford.coordination.leader.admission_control import sample_of, told_of
+from bayford.coordination.api.acceptance_rate import AcceptanceRateLimiter
+from bayford.coordination.leader.admission_control import decode_sample, encode_sample
 from bayford.protocol.jobs import priority_of
-from bayford.protocol.key_value_api import StateApi
+from bayford.protocol.key_value_api import KeyValueApi
 from bayford.storage import records
 from bayford.storage.key_value_store import Put, Row
-from bayford.transport.concurrency_limit import Limit
-from bayford.transport.http_client import Client
+from bayford.transport.concurrency_limit import ConcurrencyLimit
+from bayford.transport.http_client import HttpClient
 from standins.state_service import StateService
 from tests.test_config import GOOD
 
@@ -154,9 +154,7 @@
         self.levels: list[Level] = []
 
     def run(self, seconds, demand, accepted=None, backlog=None):
-        self.load = replace(
-            self.load, demand=demand, accepted=accepted or demand, backlog_s=backlog or {}
-        )  # fmt: skip
+        self.load = replace(self.load, demand=demand, accepted=accepted or demand, backlog_s=backlog or {})
         for _ in range(int(seconds * 2)):
             self.now += 0.5
             key = KEY if self.level is None else "08" * 32  # a new one counts when refusing begins
@@ -203,7 +201,7 @@
     assert level.reason == BACKLOG and [w.flow for w in level.windows] == [SWEEP] and level.accept_rps == 0
 
 
-def test_a_new_owner_changes_no_width_before_it_has_listened():
+def test_a_new_leader_changes_no_width_before_it_has_listened():
     flood = Flood()
     flood.run(20, {SWEEP: 50.0})
     before = flood.level
@@ -258,7 +256,7 @@
         for name, node in nodes.items():
             sample = node.recent(now)
             assert len(sample.jobs) <= MOST_SAMPLED
-            demand.merge(name, sample_of(told_of(sample)), now)
+            demand.merge(name, decode_sample(encode_sample(sample)), now)
     assert 30 < demand.rates(99.0)[SWEEP] < 50
     assert demand.rates(150.0) == {}
     other = DistinctDemand(10.0)
@@ -277,16 +275,16 @@
     assert capacity.per_s == pytest.approx(1.0)
     for _ in range(100):
         capacity.update(True, 0, 0.0)
-    assert capacity.per_s == pytest.approx(7.2) and capacity.ledger_rps() == pytest.approx(3.84)
+    assert capacity.per_s == pytest.approx(7.2) and capacity.task_log_rps() == pytest.approx(3.84)
     capacity.update(True, 0, lag_s=99.0)
-    assert capacity.per_s < 7.2 and capacity.ledger_rps() > 3.84, "the ledger is far behind"
+    assert capacity.per_s < 7.2 and capacity.task_log_rps() > 3.84, "the ledger is far behind"
     capacity.update(False, 5, 99.0)
     assert capacity.per_s == pytest.approx(7.2), "while nothing is refused there is nothing to learn"
 
 
 def test_the_pace_follows_the_state_service_and_keeps_some_for_urgent_work():
     now = [0.0]
-    pace = AcceptancePace(10.0, lambda: now[0])
+    pace = AcceptanceRateLimiter(10.0, lambda: now[0])
     for _ in range(8):
         now[0] += 1.0
         pace.refused()
@@ -304,7 +302,7 @@
 
 
 def test_requests_that_are_not_urgent_leave_a_part_of_the_limit():
-    limit = Limit(start=8.0)
+    limit = ConcurrencyLimit(start=8.0)
     with contextlib.ExitStack() as inside:
         assert [inside.enter_context(limit.enter(0.75)) for _ in range(7)] == [True] * 6 + [False]
         assert [inside.enter_context(limit.enter()) for _ in range(3)] == [True, True, False]
@@ -320,24 +318,26 @@
     service = StateService()
     path = tmp_path / "settings.toml"
     path.write_text(GOOD.replace("127.0.0.1:5", service.address))
-    store = StateApi(Client(*split_address(service.address)).call)
+    store = KeyValueApi(HttpClient(*split_address(service.address)).call)
     shown = ["admission", "--config", str(path)]
     assert cli.main(shown) == 0 and "no level" in capsys.readouterr().out
-    store.commit({}, [Put(records.ADMISSION, encode(HALF, 4096)), Put(records.MEMBERS + "n1", "i1")])
+    store.compare_and_swap(
+        {}, [Put(records.ADMISSION, encode(HALF, 4096)), Put(records.MEMBERS + "n1", "i1")]
+    )
     assert cli.main(shown) == 0
     out = capsys.readouterr().out
     assert "refusing for submissions" in out and "not in force: n1 keep to no level" in out
     assert cli.main([*shown, "--json"]) == 0
     assert orjson.loads(capsys.readouterr().out)["lacking"] == ["n1"]
-    store.commit({}, [Put(records.ADMISSION, {"v": 7})])
+    store.compare_and_swap({}, [Put(records.ADMISSION, {"v": 7})])
     assert cli.main(shown) == 1 and "everything is admitted" in capsys.readouterr().err
     service.close()
     assert cli.main(shown) == 1 and "is out" in capsys.readouterr().err
 
 
 def test_what_operators_are_shown():
-    assert "no level" in report.as_text(None, [])
-    text = report.as_text(HALF, ["n1"])
+    assert "no level" in level_report.as_text(None, [])
+    text = level_report.as_text(HALF, ["n1"])
     assert "refusing for submissions" in text and "sweep (normal) of red: 50.0%" in text and "n1" in text
-    assert KEY not in report.as_json(HALF, []) and '"in_force": true' in report.as_json(HALF, [])
-    assert "everything is admitted since" in report.as_text(Level(4, 5.0, KEY), [])
+    assert KEY not in level_report.as_json(HALF, []) and '"in_force": true' in level_report.as_json(HALF, [])
+    assert "everything is admitted since" in level_report.as_text(Level(4, 5.0, KEY), [])
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -12,7 +12,7 @@
 
 from bayford.admission.choice import decide
 from bayford.admission.level import POSITIONS, Flow, Level, Window, encode
-from bayford.coordination.leader.admission_control import LedgerFacts, WorkFacts
+from bayford.coordination.leader.admission_control import TaskLogFacts, WorkloadFacts
 from bayford.protocol import jobs
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
@@ -31,9 +31,13 @@
 
 KEY = "07" * 32
 ON = Policy(
-    hold_s=0.0, hold_idle_s=0.0, admission=True, extra_classes=("sweep", "build"), admission_window_s=6.0,
+    hold_s=0.0,
+    hold_idle_s=0.0,
+    admission=True,
+    extra_classes=("sweep", "build"),
+    admission_window_s=6.0,
     admission_clear_s=4.0,
-)  # fmt: skip
+)
 SWEEP = Flow(1, "sweep", "red")
 NODES = ("n0", "n1", "n2")
 
@@ -53,7 +57,7 @@
 
 
 def publish(w, value):
-    """A level appears in the store; what the owner would write is left out."""
+    """A level appears in the store; what the leader would write is left out."""
     outcome = w.state.execute({}, [Put(records.ADMISSION, value)])
     assert outcome.applied
     return outcome.revision
@@ -149,18 +153,18 @@
 
 def test_a_level_carried_out_after_its_successors_has_no_effect():
     w = cluster()
-    owner = w.owner()
+    leader = w.leader()
     flood(w, 6, 1)
-    w.state.hold.add(owner)
-    node = w.nodes[owner]
+    w.state.hold.add(leader)
+    node = w.nodes[leader]
     node._admission.not_written()
     assert not w.try_(node.admission_once), "its answer is lost"
     assert w.state.held and w.state.held[0][1][0].key == records.ADMISSION
-    del w.nodes[owner]
-    rest = [name for name in NODES if name != owner]
+    del w.nodes[leader]
+    rest = [name for name in NODES if name != leader]
     flood(w, 8, 1000, nodes=rest)
     before = w.state.rows[records.ADMISSION]
-    assert w.owner() not in (None, owner) and not w.state.release()[0].applied
+    assert w.leader() not in (None, leader) and not w.state.release()[0].applied
     assert w.state.rows[records.ADMISSION] == before
 
 
@@ -254,63 +258,66 @@
     w = cluster(machines=8)
     w.state.write_rps = 10.0
     others = {"crew": "blue"}
-    told, mine, urgent = [], [], []
+    told, names_process, urgent = [], [], []
     for round_number in range(12):
         told += flood(w, 1, 1000 + 100 * round_number, per_s=40)
-        mine.append(answer(w, NODES[round_number % 3], 10 + round_number, **others))
+        names_process.append(answer(w, NODES[round_number % 3], 10 + round_number, **others))
         urgent.append(answer(w, NODES[round_number % 3], 50 + round_number, lane="build", rank="urgent"))
     refusing = stored_level(w)
     assert refusing.windows and {window.team for window in refusing.windows} == {"red"}
     assert {window.job_class for window in refusing.windows} == {"sweep"}, "urgent ones go first"
-    assert all(each.status != 429 for each in mine + urgent)
-    assert w.nodes[w.owner()].writes.rate < 4.0, "the ledger keeps to what the acceptances leave"
+    assert all(each.status != 429 for each in names_process + urgent)
+    assert w.nodes[w.leader()].writes.rate < 4.0, "the ledger keeps to what the acceptances leave"
     assert any(each.status == 201 for each in told[-400:]), "the flood itself goes on"
     numbers = []
     for _ in range(60):
         w.step()
         numbers.append(stored_level(w).number)
     assert stored_level(w).is_open
-    assert w.nodes[w.owner()].writes.rate == pytest.approx(7.0)
+    assert w.nodes[w.leader()].writes.rate == pytest.approx(7.0)
     assert len(set(numbers[30:])) == 1, "no swinging"
     assert answer(w, "n1", 9999).status == 201
-    history = [Row(row.key, row.value, row.stamp) for row in w.state.log]
+    history = [Row(row.key, row.value, row.version) for row in w.state.log]
     flows = {each.job_id: SWEEP for each in told}
     assert against_level(history, flows) == [] and refused_wrongly(history, told, flows) == []
 
 
 def test_urgent_jobs_are_told_as_done_before_the_long_queue_of_others():
     w = cluster(machines=2)
-    owner = w.owner()
-    engine = w.nodes[owner].engine
+    leader = w.leader()
+    scheduler = w.nodes[leader].scheduler
     for number in range(1, 5):
-        assert answer(w, owner, number).status == 201
-    assert answer(w, owner, 5, lane="build", rank="urgent").status == 201
+        assert answer(w, leader, number).status == 201
+    assert answer(w, leader, 5, lane="build", rank="urgent").status == 201
     for _ in range(4):
         w.step()
     for urgent in (False, True):  # the urgent one is the last to end
         for worker in w.workers.values():
-            for part in [p for p in worker.running() if p.startswith("req-000005") == urgent]:
-                w.done_tasks.add(part)
-                worker.finish(part)
-            w.report(worker)
-    assert list(engine.state.ending)[-1] == "req-000005" and len(engine.state.ending) == 5
-    batch = engine.take_batch(2)
+            for task_id in [p for p in worker.running() if p.startswith("req-000005") == urgent]:
+                w.done_tasks.add(task_id)
+                worker.finish(task_id)
+            w.heartbeat(worker)
+    assert (
+        list(scheduler.state.pending_completions)[-1] == "req-000005"
+        and len(scheduler.state.pending_completions) == 5
+    )
+    batch = scheduler.take_batch(2)
     assert batch.over[0] == "req-000005" and len(batch.over) == 1
 
 
-def test_accepted_jobs_are_noted_while_the_owner_works_out_a_level():
-    """The owner's state is locked when it tells of an accepted job: neither may wait for the other."""
+def test_accepted_jobs_are_noted_while_the_leader_works_out_a_level():
+    """The leader's state is locked when it tells of an accepted job: neither may wait for the other."""
     w = cluster()
-    node = w.nodes[w.owner()]
-    control, ledger = node._admission, LedgerFacts(0, 0.0)
+    node = w.nodes[w.leader()]
+    control, task_log = node._admission, TaskLogFacts(0, 0.0)
 
     def gather():
         control.note_accepted(SWEEP, w.clock.now)  # as another thread does under the state's lock
-        return WorkFacts(frozenset(), {})
+        return WorkloadFacts(frozenset(), {})
 
     step = threading.Thread(
         target=control.step,
-        args=(node.engine.term, node._gate.view(), gather, ledger, w.clock.now + 9.0, 1.0),
+        args=(node.scheduler.term, node._gate.view(), gather, task_log, w.clock.now + 9.0, 1.0),
         daemon=True,
     )
     step.start()
@@ -320,40 +327,40 @@
 
 def test_a_backlog_counts_only_while_the_cloud_gives_no_more_machines():
     w = cluster(machines=2)
-    owner = w.owner()
-    engine = w.nodes[owner].engine
-    w.submit(owner, w.job(1, parts=50, guess_s=100.0, crew="open"))
+    leader = w.leader()
+    scheduler = w.nodes[leader].scheduler
+    w.submit(leader, w.job(1, parts=50, guess_s=100.0, crew="open"))
     w.step()
-    assert engine.work_facts().backlog_s == {}, "the fleet may still grow"
+    assert scheduler.workload_facts().backlog_s == {}, "the fleet may still grow"
     w.capacity = 0
     for _ in range(4):
-        w.fleet(owner)
+        w.fleet(leader)
         w.step()
-    facts = engine.work_facts()
+    facts = scheduler.workload_facts()
     assert facts.backlog_s[1] == pytest.approx(50 * 100.0 / 8.0, rel=0.2)
     assert facts.over_guarantee == {"open"}, "50 CPUs of open work, none guaranteed"
     w.machine(spot=False)
     w.machine(spot=False)
     w.capacity = 10
     w.pass_time(30.0)
-    w.fleet(owner)
-    assert engine.work_facts().backlog_s == {}, "machines are asked for again"
+    w.fleet(leader)
+    assert scheduler.workload_facts().backlog_s == {}, "machines are asked for again"
 
 
-def test_a_new_owner_in_a_flood_goes_on_with_the_level():
+def test_a_new_leader_in_a_flood_goes_on_with_the_level():
     w = cluster()
     told = flood(w, 8, 1)
     before = stored_level(w)
-    owner = w.owner()
-    assert before.windows and owner is not None
-    del w.nodes[owner]
-    told += flood(w, 6, 1000, nodes=[name for name in NODES if name != owner])
-    assert w.owner() not in (None, owner)
+    leader = w.leader()
+    assert before.windows and leader is not None
+    del w.nodes[leader]
+    told += flood(w, 6, 1000, nodes=[name for name in NODES if name != leader])
+    assert w.leader() not in (None, leader)
     after = stored_level(w)
     assert after.number > before.number and after.key == before.key and after.since == before.since
-    w.boot(owner)
+    w.boot(leader)
     told += flood(w, 8, 2000)
-    history = [Row(row.key, row.value, row.stamp) for row in w.state.log]
+    history = [Row(row.key, row.value, row.version) for row in w.state.log]
     flows = {each.job_id: SWEEP for each in told}
     assert against_level(history, flows) == [] and refused_wrongly(history, told, flows) == []
 
@@ -411,7 +418,7 @@
 
 Admission.TestCase.settings = settings(
     derandomize=True, max_examples=25, stateful_step_count=25, deadline=None
-)  # fmt: skip
+)
 TestAdmission = Admission.TestCase
 
 
--- a/tests/test_deadline_bound.py
+++ b/tests/test_deadline_bound.py
@@ -19,14 +19,18 @@
     "machines": [{"type": "m", "count": 1}],
     "jobs": [
         {
-            "name": "sweep", "priority": "normal", "cpus": 1.0, "initial": 3,
+            "name": "sweep",
+            "priority": "normal",
+            "cpus": 1.0,
+            "initial": 3,
             "arrivals": {"rate": 0.0, "start_s": 5.0, "stop_s": 100.0},
-            "tasks": {"median": 4.0, "p95": 4.0}, "run_s": {"median": 10.0, "p95": 10.0},
+            "tasks": {"median": 4.0, "p95": 4.0},
+            "run_s": {"median": 10.0, "p95": 10.0},
             "images": {"gb": {"median": 1.0, "p95": 1.0}},
             "deadline": {"factor": 1.0, "plus_s": 30.0},
         }
     ],
-}  # fmt: skip
+}
 
 
 def job(
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -22,29 +22,29 @@
 PER_S, SECONDS = SERVED_PER_S * 10, 12.0
 
 
-def test_a_flood_at_ten_times_what_is_served_while_the_owner_and_another_controller_end(tmp_path):
+def test_a_flood_at_ten_times_what_is_served_while_the_leader_and_another_controller_end(tmp_path):
     rng = random.Random(5)
     state = StateService(RPS, WRITE_RPS)
     with Site(tmp_path, SCRIPT, MACHINES, teams=TEAMS, state=state) as site:
         for n in range(MACHINES):
             site.fleet.begin(KIND, "north" if n % 2 else "south", True)
-        await_state(lambda: site.owner() is not None, "an owner")
+        await_state(lambda: site.leader() is not None, "an owner")
         users = Users(site, 5)
         flood = threading.Thread(
             target=users.flood, args=(lambda n: make_job(rng, n, PER_S), PER_S, SECONDS, RUN_S), daemon=True
-        )  # fmt: skip
+        )
         flood.start()
 
         def levels() -> list[object]:
             return [row.value for row in state.history() if row.key == "b/admission"]
 
         await_state(lambda: len(levels()) >= 2, "the flood is refused in part")
-        owner = site.owner()
-        assert owner is not None
-        ended = [owner, next(name for name in site.controllers.fronts if name != owner)]
+        leader = site.leader()
+        assert leader is not None
+        ended = [leader, next(name for name in site.controllers.fronts if name != leader)]
         for name in ended:
             site.controllers.kill(name)
-        await_state(lambda: site.owner() not in (None, owner), "another owner")
+        await_state(lambda: site.leader() not in (None, leader), "another owner")
         for name in ended:
             site.start(name)
         before = len(levels())
@@ -57,7 +57,7 @@
         names = [s.job["id"] for s in accepted]
 
         def undone() -> set[str]:
-            done = {event.part for event in list(site.fleet.history) if event.what == "done"}
+            done = {event.task_id for event in list(site.fleet.history) if event.what == "done"}
             return {f"{name}/0" for name in names} - done
 
         await_state(lambda: not undone(), "what was accepted is done")
@@ -78,7 +78,7 @@
         begun: dict[str, int] = {}
         for event in history:
             if event.what == "running":
-                begun.setdefault(event.part.partition("/")[0], event.number)
+                begun.setdefault(event.task_id.partition("/")[0], event.number)
         came_together = [
             (build.job["id"], sweep.job["id"])
             for build, sweep in zip(builds, sweeps, strict=False)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -44,11 +44,11 @@
         assert len(loads) == MACHINES and average == JOBS * TASKS / (MACHINES * KIND.cpus)
         assert max(loads.values()) <= 2.0 * average
 
-        owner = site.owner()
-        assert owner is not None
-        site.controllers.kill(owner)
-        await_state(lambda: site.owner() not in (None, owner), "another owner")
-        site.start(owner)
+        leader = site.leader()
+        assert leader is not None
+        site.controllers.kill(leader)
+        await_state(lambda: site.leader() not in (None, leader), "another owner")
+        site.start(leader)
         for name in names:
             site.fleet.run_s[name] = 0.0
         await_state(lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "the end")
@@ -104,7 +104,7 @@
 
 
 def test_a_zone_that_is_cut_away_flaps_and_returns_has_one_answer_for_each_job(tmp_path):
-    """Its owner ends meanwhile; jobs bound to the zone come back in the stated order."""
+    """Its leader ends meanwhile; jobs bound to the zone come back in the stated order."""
     with Site(tmp_path, RECOVER + KEEP_IDLE, 12, lease_s=6.0) as site:
         for n in range(12):
             site.fleet.begin(KIND, "south" if n % 2 else "north", True)
@@ -123,11 +123,11 @@
         bound = {"yard": "south", "rank": "normal"}
         for number, name in ((1, "mirror-trickle"), (2, "rebuild-sweep"), (3, "hot-builds")):
             site.submit(job(number, f"img-{number}", 6, name, **bound), run_s=math.inf)
-        owner = site.owner()
-        assert owner is not None
-        site.controllers.kill(owner)
-        await_state(lambda: site.owner() not in (None, owner), "another owner")
-        site.start(owner)
+        leader = site.leader()
+        assert leader is not None
+        site.controllers.kill(leader)
+        await_state(lambda: site.leader() not in (None, leader), "another owner")
+        site.start(leader)
         for away in (False, True, False):  # it flaps
             site.fleet.cut_zone("south", away)
         names = [f"req-{n:06d}" for n in range(4)]
@@ -136,7 +136,7 @@
 
         def running() -> set[str]:
             workers = list(site.fleet.workers.values())
-            return {a.part for w in workers for a in list(w.tasks.values()) if a.phase == "running"}
+            return {a.task_id for w in workers for a in list(w.tasks.values()) if a.phase == "running"}
 
         await_state(lambda: running() == set(parts), "everything runs again")
         await_state(lambda: state() == "up", "the zone is up")
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,19 +14,19 @@
 from bayford.coordination.controller import Controller
 from bayford.protocol import mesh, workers
 from bayford.scheduling.policy import Policy
-from bayford.transport.http_handlers import Mesh
+from bayford.transport.http_handlers import PeerHandler
 from bayford.transport.http_server import Request
 
 
 def owned(w: World) -> tuple[str, Controller, str]:
-    """The owner's name, the owner, and another controller."""
-    name = w.owner()
+    """The leader's name, the leader, and another controller."""
+    name = w.leader()
     assert name is not None
     return name, w.nodes[name], next(n for n in w.nodes if n != name)
 
 
 def at_work(parts: int = 4, machines: int = 2, nodes: int = 3, **world_fields) -> World:
-    """A world in which job 1 runs and has long to go; workers have settled at the owner."""
+    """A world in which job 1 runs and has long to go; workers have settled at the leader."""
     w = quiet(machines=machines, nodes=nodes, **world_fields)
     w.submit("n0", w.job(1, parts=parts, guess_s=500.0))
     wait(w, 4.0, fleet=False)
@@ -53,9 +53,9 @@
 @pytest.mark.parametrize("news", [True, False])
 @pytest.mark.parametrize("refused_s", [0.5, 1.5, 2.4])
 def test_in_the_gap_cancelled_tasks_are_gone_in_time(refused_s, news):
-    """With news over the mesh they are halted at once; without, the bound on old views sees to it."""
+    """With news over the mesh they are stopped at once; without, the bound on old views sees to it."""
     w = at_work()
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     if not news:
         w.mesh_cut.add(name)
     w.state.refuses.add(name)
@@ -63,7 +63,7 @@
     assert w.cancel(other, "req-000001") == "aborted"
     w.nodes[other].notices.send()
     w.state.down = True
-    assert not owner.mirror.cancelled("req-000001"), "the owner has not read it"
+    assert not leader.watch_cache.is_cancelled("req-000001"), "the owner has not read it"
     wait(w, 2.0)
     told = w.clock.now
     if news:
@@ -71,7 +71,7 @@
         assert not running(w), "halted on the other controller's word"
     wait(w, w.cancel_s + 5.0)  # the world watches the bound
     assert w.clock.now - told > w.cancel_s and not running(w)
-    assert w.owner() == name, "nobody has taken over: the service was down for all"
+    assert w.leader() == name, "nobody has taken over: the service was down for all"
     w.state.refuses.clear()
     w.state.down = False
     w.mesh_cut.clear()
@@ -79,10 +79,11 @@
     assert {w.query(n, "req-000001") for n in w.nodes} == {"aborted"}
 
 
-def test_an_owner_whose_reads_fail_does_not_take_its_writes_for_a_view_of_the_cancellations():
-    """Its commits and comparisons of the map held, while it learned of nothing that others had confirmed."""
+def test_an_leader_whose_reads_fail_does_not_take_its_writes_for_a_view_of_the_cancellations():
+    """Its commits and comparisons of the leadership record held, while it learned of nothing that others had
+    confirmed."""
     w = at_work(machines=4)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.submit(name, w.job(2, crew="blue", parts=12, guess_s=500.0))
     wait(w, 3.0, fleet=False)
     w.mesh_cut.add(name)
@@ -93,8 +94,8 @@
     for task in range(12):  # it writes all the time
         w.finish(f"req-000002/{task}")
         wait(w, 1.5, fleet=False)
-    assert owner.engine.owner and w.state.epoch - before > 10
-    assert not owner.mirror.cancelled("req-000001")
+    assert leader.scheduler.leader and w.state.epoch - before > 10
+    assert not leader.watch_cache.is_cancelled("req-000001")
     w.state.down = True
     wait(w, w.cancel_s, fleet=False)
     assert not [p for p in running(w) if p.startswith("req-000001/")]
@@ -102,11 +103,11 @@
 
 @pytest.mark.parametrize("mixed", [False, True])
 def test_in_the_gap_a_machine_that_hangs_with_cancelled_tasks_is_deleted_in_time(mixed):
-    """Nobody can be sure to be the owner, and a machine that hangs heeds no lease. It goes, and it alone; if
+    """Nobody can be sure to be the leader, and a machine that hangs heeds no lease. It goes, and it alone; if
     it holds other work too, only when there is just the time for it left."""
     w = at_work(parts=2 if mixed else 8, cancel_s=30.0)
-    name, owner, other = owned(w)
-    assert owner.engine.staleness_limit() < 0.5 * w.cancel_s, "no longer sure when it has to act"
+    name, leader, other = owned(w)
+    assert leader.scheduler.staleness_limit() < 0.5 * w.cancel_s, "no longer sure when it has to act"
     if mixed:
         w.submit(name, w.job(2, crew="blue", parts=6, guess_s=500.0))
         wait(w, 3.0, fleet=False)
@@ -127,31 +128,31 @@
     w = at_work(parts=8)
     w.state.down = True
     wait(w, 15.0)
-    holder(w).hung = True  # not silent for long enough yet when the owner stops judging
+    holder(w).hung = True  # not silent for long enough yet when the leader stops judging
     wait(w, w.cancel_s)
     assert w.deleted == []
 
 
-def test_an_owner_that_is_refused_alone_deletes_nothing_unverified():
+def test_an_leader_that_is_refused_alone_deletes_nothing_unverified():
     """Another is served, so it is that one's to judge: it has taken over, or is about to."""
     w = at_work(parts=8)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.state.refuses.add(name)
     assert w.cancel(other, "req-000001") == "aborted"
     w.nodes[other].notices.send()
-    assert owner.engine.state.jobs["req-000001"].cancelled
-    assert not owner.unrivalled()
+    assert leader.scheduler.state.jobs["req-000001"].cancelled
+    assert not leader.no_competing_leader()
     w.state.down = True
     wait(w, 8.0, fleet=False)  # by then no other says any more that it is served
-    assert owner.unrivalled()
-    owner.peers.served_at[other] = w.clock.now
-    assert not owner.unrivalled(), "another is served"
-    owner.peers.served_at.clear()
-    owner.membership.heard(owner.membership.view.token + 1)
-    assert not owner.unrivalled(), "somebody has seen a higher token"
+    assert leader.no_competing_leader()
+    leader.peers.served_at[other] = w.clock.now
+    assert not leader.no_competing_leader(), "another is served"
+    leader.peers.served_at.clear()
+    leader.membership.observe_token(leader.membership.record.fencing_token + 1)
+    assert not leader.no_competing_leader(), "somebody has seen a higher token"
 
 
-def test_a_relay_halts_what_it_knows_as_cancelled_without_a_fresh_view():
+def test_a_relay_stops_what_it_knows_as_cancelled_without_a_fresh_view():
     w = at_work(machines=1)
     name, _, other = owned(w)
     worker = holder(w)
@@ -163,36 +164,36 @@
     w.state.refuses.add(relay)
     assert w.cancel(confirming, "req-000001") == "aborted"
     w.state.down = True
-    w.nodes[relay].hear_cancelled({"req-000001": w.clock.wall()})
-    w.report(worker, relay)
+    w.nodes[relay].on_cancellations({"req-000001": w.clock.wall()})
+    w.heartbeat(worker, relay)
     assert not running(w)
 
 
-def test_direct_halts_of_cancelled_jobs_go_out_on_any_view_and_others_do_not():
+def test_direct_stops_of_cancelled_jobs_go_out_on_any_view_and_others_do_not():
     w = at_work(parts=2, machines=1)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     worker = holder(w)
     worker.mute = True
     w.state.refuses.add(name)
     wait(w, 0.5, fleet=False)
     assert w.cancel(other, "req-000001") == "aborted"
     w.state.down = True
-    w.pass_time(owner.engine.staleness_limit() + 1.0)
-    assert not owner.sure_owner()
+    w.pass_time(leader.scheduler.staleness_limit() + 1.0)
+    assert not leader.is_verified_leader()
     assert w.nodes[other].notices.send()
     w.step_node(name)
     assert not running(w), "halted by a direct command"
 
 
-def test_a_cancellation_is_told_to_the_owner_until_it_hears_and_not_for_ever():
+def test_a_cancellation_is_told_to_the_leader_until_it_hears_and_not_for_ever():
     w = at_work()
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.mesh_cut.add(name)
     w.state.refuses.add(name)
     assert w.cancel(other, "req-000001") == "aborted"
     assert not w.nodes[other].notices.send()
     w.mesh_cut.clear()
-    assert w.nodes[other].notices.send() and owner.engine.state.jobs["req-000001"].cancelled
+    assert w.nodes[other].notices.send() and leader.scheduler.state.jobs["req-000001"].cancelled
     w.mesh_cut.add(name)
     w.submit(other, w.job(2))
     assert w.cancel(other, "req-000002") == "aborted"
@@ -203,41 +204,41 @@
 
 def test_news_of_cancellations_over_the_mesh_are_checked_and_unknown_to_older_releases():
     w = quiet(nodes=2)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.submit(name, w.job(1))
     wait(w, 2.0, fleet=False)
-    ours = Mesh(owner)
+    ours = PeerHandler(leader)
     for body in (b"{", b"[]", b'{"req-000001":"now"}', b'{"req-000001":null}'):
         assert ours.handle(Request("POST", mesh.CANCELLED_PATH, body, 0.0)).status == 400
     assert ours.handle(Request("GET", mesh.CANCELLED_PATH, b"", 0.0)).status == 404
-    assert not owner.engine.state.jobs["req-000001"].cancelled
+    assert not leader.scheduler.state.jobs["req-000001"].cancelled
     body = mesh.encode_cancelled({"req-000001": w.clock.wall(), "req-000099": w.clock.wall()})
     assert ours.handle(Request("POST", mesh.CANCELLED_PATH, body, 0.0)).status == 200
-    assert owner.engine.state.jobs["req-000001"].cancelled
+    assert leader.scheduler.state.jobs["req-000001"].cancelled
 
 
-def test_a_job_called_off_before_the_owner_has_read_of_it_never_starts():
+def test_a_job_called_off_before_the_leader_has_read_of_it_never_starts():
     w = quiet(nodes=3)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.state.blind.add(name)
     assert w.submit(other, w.job(1)) == 201
     assert w.cancel(other, "req-000001") == "aborted"
     assert w.nodes[other].notices.send()
     w.state.blind.clear()
     wait(w, 5.0, fleet=False)
-    assert not running(w) and "req-000001" not in owner.engine.state.jobs
+    assert not running(w) and "req-000001" not in leader.scheduler.state.jobs
 
 
 def test_a_start_goes_out_only_after_a_read_that_shows_what_others_have_cancelled():
-    """The check before a start was a comparison of the map; a cancellation confirmed elsewhere in between
-    was no part of it, and the task was started all the same."""
+    """The check before a start was a comparison of the leadership record; a cancellation confirmed elsewhere
+    in between was no part of it, and the task was started all the same."""
     w = quiet(machines=1, nodes=3)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     decided(w, name)
-    owner.commit_once()
-    assert owner.engine.state.jobs["req-000001"].open
+    leader.commit_once()
+    assert leader.scheduler.state.jobs["req-000001"].open
     assert w.cancel(other, "req-000001") == "aborted"
-    w.report(next(iter(w.workers.values())), name)
+    w.heartbeat(next(iter(w.workers.values())), name)
     assert not running(w)
 
 
@@ -262,9 +263,9 @@
     """All troubles end. Nobody may be forgotten or left waiting, and all that was accepted ends."""
     calm(w)
     since: dict[str, float] = {}
-    for turn in range(int(seconds)):
+    for failover_delay_s in range(int(seconds)):
         wait(w, 1.0)
-        if turn == 75:
+        if failover_delay_s == 75:
             for name in w.nodes:
                 for job_id in sorted(w.accepted):
                     assert w.query(name, job_id) is not None, f"forgotten: {job_id} on {name}"
@@ -272,9 +273,9 @@
         since = {job_id: since.get(job_id, w.clock.now) for job_id in stuck}
         for job_id, at in since.items():
             assert w.clock.now - at < 90.0, f"{job_id} waits for 90 s though it fits"
-        for part in running(w):
+        for task_id in running(w):
             if w.rng.random() < 0.2:
-                w.finish(part)
+                w.finish(task_id)
     for name in w.nodes:
         for job_id in sorted(w.accepted):
             assert w.query(name, job_id) in ("done", "aborted"), f"{job_id} never ended"
@@ -287,10 +288,10 @@
 
 
 def hand_over(w: World) -> str:
-    """The owner ends, another takes over, and it is back; who owns then."""
+    """The leader ends, another takes over, and it is back; who owns then."""
     name, _, _ = owned(w)
     end(w, name)
-    while w.owner() is None:
+    while w.leader() is None:
         wait(w, 0.5, fleet=False)
     w.boot(name)
     return owned(w)[0]
@@ -306,9 +307,9 @@
         wait(w, 2.0)
         if number % 2:
             w.cancel(f"n{number % 3}", f"req-{number:06d}")
-        for part in running(w)[:2]:
-            w.finish(part)
-    waiting = sum(len(job.waiting) for job in owned(w)[1].engine.state.jobs.values())
+        for task_id in running(w)[:2]:
+            w.finish(task_id)
+    waiting = sum(len(job.waiting) for job in owned(w)[1].scheduler.state.jobs.values())
     assert waiting > 4 and len(running(w)) >= 8, "more work than room"
     w.submit("n1", w.job(20, parts=1, rank="critical"))
     for _ in range(40):
@@ -324,15 +325,15 @@
 @pytest.mark.parametrize("ends", [False, True])
 def test_a_transaction_is_carried_out_and_only_its_answer_is_lost_while_others_read_it(ends):
     w = at_work()
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.state.unanswered.add(name)
     w.submit(other, w.job(2, parts=1, crew="blue"))
     for _ in range(6):
         wait(w, 1.0, fleet=False)
         w.look(1, parts=4, guess_s=500.0)
         w.look(2, parts=1, crew="blue")
-    for part in running(w):
-        w.finish(part)
+    for task_id in running(w):
+        w.finish(task_id)
     for _ in range(6):
         wait(w, 1.0, fleet=False)
         w.look(1, parts=4, guess_s=500.0)
@@ -348,28 +349,28 @@
     over(w)
 
 
-def test_a_report_held_back_until_a_new_leader_has_acted_changes_nothing():
+def test_a_heartbeat_held_back_until_a_new_leader_has_acted_changes_nothing():
     w = at_work(machines=2)
     old, _, _ = owned(w)
-    held = [worker.report() for worker in w.workers.values()]  # all four tasks run
-    for part in running(w)[:2]:
-        w.finish(part)
+    held = [worker.heartbeat() for worker in w.workers.values()]  # all four tasks run
+    for task_id in running(w)[:2]:
+        w.finish(task_id)
     w.cancel(old, "req-000001")
     end(w, old)
     wait(w, 8.0, fleet=False)
-    new, owner, _ = owned(w)
+    new, leader, _ = owned(w)
     assert new != old and not running(w)
     w.submit(new, w.job(2, parts=8))
     wait(w, 2.0, fleet=False)
     before = running(w)
-    for report in held:
-        w.replay(report, new)
+    for heartbeat in held:
+        w.replay(heartbeat, new)
     wait(w, 4.0, fleet=False)
     assert running(w) == before and len(before) == 8
     over(w)
 
 
-def test_an_old_report_reaches_every_controller_just_as_a_new_leader_begins():
+def test_an_old_heartbeat_reaches_every_controller_just_as_a_new_leader_begins():
     """The first word it hears of a machine is minutes old: it gives no work for it and closes nothing."""
     w = at_work(machines=2)
     old, _, _ = owned(w)
@@ -379,18 +380,18 @@
     w.pass_time(5.0)
     for name in list(w.nodes):
         w.step_node(name)
-        for report in idle:
-            w.replay(report, name)
-    new, owner, _ = owned(w)
-    assert len(owner.engine.state.jobs["req-000001"].open) == 4, "the records' placements stand"
+        for heartbeat in idle:
+            w.replay(heartbeat, name)
+    new, leader, _ = owned(w)
+    assert len(leader.scheduler.state.jobs["req-000001"].open) == 4, "the records' placements stand"
     w.submit(new, w.job(2, crew="blue", parts=8))
     for _ in range(3):
         w.step_node(new)
-    assert not owner.engine.state.jobs["req-000002"].open, "who has not said our token gets no work"
+    assert not leader.scheduler.state.jobs["req-000002"].open, "who has not said our token gets no work"
     for _ in range(6):
         wait(w, 0.5, fleet=False)
-        for report in idle:
-            w.replay(report, new)
+        for heartbeat in idle:
+            w.replay(heartbeat, new)
     assert len(running(w)) == 8
     over(w)
 
@@ -447,22 +448,22 @@
 @pytest.mark.parametrize("gap_s", [0.0, 0.5, 4.0])
 def test_controllers_hand_over_and_back_all_end_and_one_returns(gap_s):
     w = at_work(parts=8)
-    owners = [hand_over(w) for _ in range(4)]
-    assert len(set(owners)) > 1
+    leaders = [hand_over(w) for _ in range(4)]
+    assert len(set(leaders)) > 1
     names = list(w.nodes)
     for name in names:
         end(w, name)
     w.pass_time(gap_s)
     w.boot("n1")
     wait(w, 6.0, fleet=False)
-    assert list(w.nodes) == ["n1"] and w.owner() == "n1"
+    assert list(w.nodes) == ["n1"] and w.leader() == "n1"
     assert len(running(w)) == 8, "within a lease all goes on"
     over(w)
 
 
 def test_users_ask_and_cancel_while_the_state_service_refuses_the_leader_and_then_everybody():
     w = at_work(parts=4, machines=3)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.submit(other, w.job(2, parts=4, crew="blue"))
     wait(w, 2.0, fleet=False)
     w.finish("req-000002/0")
@@ -484,18 +485,18 @@
     w = at_work(parts=8)
     w.submit("n1", w.job(2, parts=8, crew="blue"))
     tokens = set()
-    for turn in range(10):
-        tokens.add(owned(w)[1].membership.view.token)
-        w.state.down = turn == 4
+    for failover_delay_s in range(10):
+        tokens.add(owned(w)[1].membership.record.fencing_token)
+        w.state.down = failover_delay_s == 4
         w.boot(owned(w)[0])
         if w.state.down:
             wait(w, 3.0)
-            assert w.owner() is None, "nobody can become owner"
+            assert w.leader() is None, "nobody can become owner"
             w.state.down = False
-        w.cancel("n2", "req-000001") if turn == 6 else w.look(1, parts=8, guess_s=500.0)
+        w.cancel("n2", "req-000001") if failover_delay_s == 6 else w.look(1, parts=8, guess_s=500.0)
         for _ in range(24):
             wait(w, 0.5)
-            if w.owner() is not None:
+            if w.leader() is not None:
                 break
     assert len(tokens) >= 9
     over(w)
@@ -504,12 +505,12 @@
 @pytest.mark.parametrize("late_s", [2.0, 12.0])
 def test_transactions_without_an_answer_come_late_after_newer_ones_of_the_same_controller(late_s):
     w = at_work(parts=4, machines=3)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.submit(other, w.job(2, parts=4, crew="blue"))
     wait(w, 2.0, fleet=False)
-    for number, (part, again) in enumerate([("req-000001/0", True), ("req-000002/1", False)], 3):
+    for number, (task_id, again) in enumerate([("req-000001/0", True), ("req-000002/1", False)], 3):
         w.state.lagging[name] = w.state.lagging[other] = late_s
-        w.finish(part)
+        w.finish(task_id)
         assert w.submit(other, w.job(number, crew="blue", parts=1)) == 503
         if again:
             assert w.nodes[other].cancel("req-000002")[0] == 503
@@ -541,7 +542,7 @@
 
 def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends():
     w = at_work(parts=2, machines=1)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.submit(other, w.job(2, parts=12, crew="blue", guess_s=500.0))
     w.state.lagging[name] = 6.0
     w.step_node(name)
@@ -587,9 +588,9 @@
             if number % 4 == 0:
                 cancelled += w.cancel(f"n{(number + 1) % 3}", f"req-{number - 3:06d}") == "aborted"
         wait(w, 0.5)
-        for part in running(w):
+        for task_id in running(w):
             if w.rng.random() < 0.4:
-                w.finish(part)
+                w.finish(task_id)
     assert submitted == 480 and cancelled > 60
     over(w, 100.0)
     assert sum(job_id not in w.cancelled for job_id in w.accepted) == submitted - cancelled
@@ -600,21 +601,21 @@
 @pytest.mark.parametrize("moment", ["ended", "reported", "writing", "written"])
 def test_a_cancellation_a_question_or_a_repeat_meets_the_end_of_the_last_task(what, moment):
     w = at_work(parts=1, machines=1)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.finish("req-000001/0")
     batch = None
     if moment != "ended":
-        w.report(holder_of_ended(w), name)
+        w.heartbeat(holder_of_ended(w), name)
     if moment in ("writing", "written"):
-        batch = owner.engine.take_batch(12)
+        batch = leader.scheduler.take_batch(12)
         assert batch is not None and batch.over == ["req-000001"]
     if moment == "written":
-        owner._write(batch)
+        leader._write(batch)
     told = set(w.look(1, parts=1, guess_s=500.0))
     if what == "cancel":
         assert w.cancel(other, "req-000001") == ("done" if moment == "written" else "aborted")
     if moment == "writing":
-        owner._write(batch)
+        leader._write(batch)
     assert told == ({"done"} if moment == "written" else {"running"})
     wait(w, 3.0, fleet=False)
     expected = "aborted" if what == "cancel" and moment != "written" else "done"
@@ -637,8 +638,8 @@
             if name != old:
                 w.step_node(name)
         w.pass_time(0.2)
-    new = next(n for n in w.nodes if n != old and w.nodes[n].engine.owner)
-    assert deposed.engine.owner, "the old one can't know"
+    new = next(n for n in w.nodes if n != old and w.nodes[n].scheduler.leader)
+    assert deposed.scheduler.leader, "the old one can't know"
     assert w.cancel(new, "req-000001") == "aborted"
     assert deposed.query("req-000001")[0] == 503
     wait(w, w.cancel_s)
@@ -647,7 +648,7 @@
 
 
 def test_jobs_are_cancelled_in_the_seconds_in_which_the_work_changes_hands(monkeypatch):
-    """Before the new owner's last read, between that and its adoption, and right after."""
+    """Before the new leader's last read, between that and its adoption, and right after."""
     w = at_work(parts=3)
     old, _, other = owned(w)
     w.submit(other, w.job(2, parts=3, crew="blue", guess_s=500.0))
@@ -659,37 +660,37 @@
     third = next(n for n in w.nodes if n != other)
     assert w.cancel(third, "req-000001") == "aborted"
     node = w.nodes[other]
-    adopt = node.engine.adopt
+    recover = node.scheduler.recover
     seen = []
 
     def amid(found, *rest):
-        adopt(found, *rest)
+        recover(found, *rest)
         seen.append(w.cancel(third, "req-000002"))
 
-    monkeypatch.setattr(node.engine, "adopt", amid)
+    monkeypatch.setattr(node.scheduler, "recover", amid)
     for _ in range(10):
         w.step_node(other)
         w.pass_time(0.2)
-    assert seen == ["aborted"] and node.engine.owner
+    assert seen == ["aborted"] and node.scheduler.leader
     assert w.cancel(third, "req-000003") == "aborted"
     wait(w, 6.0, fleet=False)
     assert not running(w)
     over(w)
 
 
-def test_old_reports_of_earlier_sessions_and_attempts_arrive_after_newer_ones():
+def test_old_heartbeats_of_earlier_epochs_and_attempts_arrive_after_newer_ones():
     w = at_work(parts=4, machines=2)
-    name, owner, _ = owned(w)
+    name, leader, _ = owned(w)
     early = list(w.sent)
     worker = holder(w)
     worker.answered = 0.0  # its lease has run out
     wait(w, 3.0)
-    assert worker.session == 2 and len(running(w)) == 4
+    assert worker.epoch == 2 and len(running(w)) == 4
     attempts = sorted(a.number for x in w.workers.values() for a in x.tasks.values())
     assert max(attempts) > 4, "begun again under later attempts"
-    for report in early:
+    for heartbeat in early:
         for node in w.names:
-            w.replay(report, node)
+            w.replay(heartbeat, node)
     wait(w, 5.0)
     assert sorted(a.number for x in w.workers.values() for a in x.tasks.values()) == attempts
     assert w.deleted == []
@@ -698,16 +699,18 @@
 
 def test_a_command_and_its_answer_are_held_up_and_the_machine_then_goes_on():
     w = at_work(parts=2, machines=1)
-    name, owner, _ = owned(w)
+    name, leader, _ = owned(w)
     worker = holder(w)
-    part = worker.running()[0]
-    attempt = next(a.number for a in worker.tasks.values() if a.part == part)
-    late = workers.commands(owner.membership.view.token, worker.session, [workers.Halt(part, attempt, 0.0)])
+    task_id = worker.running()[0]
+    attempt = next(a.number for a in worker.tasks.values() if a.task_id == task_id)
+    late = workers.encode_stop_commands(
+        leader.membership.record.fencing_token, worker.epoch, [workers.Stop(task_id, attempt, 0.0)]
+    )
     worker.hung = True
     wait(w, 4.0, fleet=False)
     worker.hung = False
     wait(w, 2.0, fleet=False)
-    w.finish(part)
+    w.finish(task_id)
     wait(w, 2.0, fleet=False)
     body = w.command(name, f"{worker.name}:9", late)  # executed only now
     assert body is not None
@@ -814,7 +817,7 @@
     rng = w.rng
     names = sorted(w.nodes)
     node = rng.choice(names)
-    leader = w.owner() or node
+    leader = w.leader() or node
     some = rng.sample(sorted(w.workers), min(2, len(w.workers)))
     if trouble == "refused":
         w.state.refuses.add(leader)
@@ -851,8 +854,8 @@
     elif trouble == "cut":
         w.cut |= {(name, other) for name in some for other in (w.names if rng.random() < 0.5 else [leader])}
     elif trouble == "copies":
-        for report in rng.sample(w.sent, min(20, len(w.sent))):
-            w.replay(report, rng.choice(sorted(w.nodes)))
+        for heartbeat in rng.sample(w.sent, min(20, len(w.sent))):
+            w.replay(heartbeat, rng.choice(sorted(w.nodes)))
     elif trouble == "slow":
         w.slow_s = rng.uniform(0.5, 3.5)
     else:
@@ -861,15 +864,38 @@
 
 
 TROUBLES = (
-    "refused", "outage", "gap", "unanswered", "lagging", "blind", "isolated", "peers", "ends", "all end",
-    "frozen", "cut", "copies", "slow", "deaf", "mute", "hung",
-)  # fmt: skip
+    "refused",
+    "outage",
+    "gap",
+    "unanswered",
+    "lagging",
+    "blind",
+    "isolated",
+    "peers",
+    "ends",
+    "all end",
+    "frozen",
+    "cut",
+    "copies",
+    "slow",
+    "deaf",
+    "mute",
+    "hung",
+)
 
 
 RESTLESS = Policy(  # moves whatever it may, as soon as it may
-    hold_s=0.0, hold_idle_s=0.0, spread=True, spread_rest_s=1.0, spread_every_s=0.5, spread_threshold=1.0,
-    spread_restarts_default=2, spread_lossy=("sweep",), extra_classes=("sweep",), balance_share=1.0,
-)  # fmt: skip
+    hold_s=0.0,
+    hold_idle_s=0.0,
+    spread=True,
+    spread_rest_s=1.0,
+    spread_every_s=0.5,
+    spread_threshold=1.0,
+    spread_restarts_default=2,
+    spread_lossy=("sweep",),
+    extra_classes=("sweep",),
+    balance_share=1.0,
+)
 
 
 @pytest.mark.parametrize(
@@ -885,16 +911,19 @@
     fields: dict[int, dict] = {}
     for _ in range(4):
         troubles = rng.sample(TROUBLES, rng.choice([2, 3]))
-        for turn in range(24):
-            if turn in (4, 8, 12) and troubles:
+        for failover_delay_s in range(24):
+            if failover_delay_s in (4, 8, 12) and troubles:
                 draw(w, troubles.pop())
             for _ in range(rng.choice([0, 0, 1, 2])):
                 number += 1
                 fields[number] = {
-                    "parts": rng.choice([1, 1, 2, 3, 8]), "crew": rng.choice(["red", "blue"]),
-                    "rank": rng.choice(["idle", "normal", "urgent"]), "guess_s": rng.choice([5.0, 500.0]),
-                    "yard": rng.choice([None, None, "south"]), "together": rng.random() < 0.1,
-                }  # fmt: skip
+                    "parts": rng.choice([1, 1, 2, 3, 8]),
+                    "crew": rng.choice(["red", "blue"]),
+                    "rank": rng.choice(["idle", "normal", "urgent"]),
+                    "guess_s": rng.choice([5.0, 500.0]),
+                    "yard": rng.choice([None, None, "south"]),
+                    "together": rng.random() < 0.1,
+                }
                 w.submit(rng.choice(sorted(w.nodes)), w.job(number, **fields[number]))
             known = sorted(w.accepted)
             if known and rng.random() < 0.4:
@@ -902,41 +931,41 @@
             if known and rng.random() < 0.4:
                 asked = int(rng.choice(known)[4:])
                 w.look(asked, **fields[asked])
-            for part in running(w):
+            for task_id in running(w):
                 if rng.random() < 0.05:
-                    w.finish(part)
+                    w.finish(task_id)
             wait(w, rng.choice([0.5, 1.0, 2.0]))
         calm(w)
     over(w, 200.0)
 
 
 def test_a_read_vouches_for_nothing_that_nobody_was_told_of_yet():
-    """One thread has taken a cancellation in and is about to tell the engine; the read of a second one finds
-    it there already, and must not count before the first one is through."""
+    """One thread has taken a cancellation in and is about to tell the scheduler; the read of a second one
+    finds it there already, and must not count before the first one is through."""
     w = quiet(machines=1, nodes=2)
-    name, owner, other = owned(w)
+    name, leader, other = owned(w)
     w.submit(name, w.job(1))
-    owner.mirror.pull(0.0)
+    leader.watch_cache.pull(0.0)
     assert w.cancel(other, "req-000001") == "aborted"
     telling, go_on = threading.Event(), threading.Event()
-    on_row = owner.engine.on_row
+    reconcile_job = leader.scheduler.reconcile_job
 
-    def slowly(record, stamp):
+    def slowly(record, version):
         telling.set()
         assert go_on.wait(30.0)
-        on_row(record, stamp)
+        reconcile_job(record, version)
 
-    owner.engine.on_row = slowly
-    first = threading.Thread(target=owner.mirror.pull, args=(0.0,))
+    leader.scheduler.reconcile_job = slowly
+    first = threading.Thread(target=leader.watch_cache.pull, args=(0.0,))
     first.start()
     assert telling.wait(30.0)
-    before = owner.mirror.as_of
+    before = leader.watch_cache.as_of
     w.clock.now += 1.0
-    second = threading.Thread(target=owner.mirror.pull, args=(0.0,))
+    second = threading.Thread(target=leader.watch_cache.pull, args=(0.0,))
     second.start()
     second.join(0.3)  # unmended it is through by then; mended it never is
-    assert owner.mirror.as_of == before and not owner.engine.state.jobs["req-000001"].cancelled
+    assert leader.watch_cache.as_of == before and not leader.scheduler.state.jobs["req-000001"].cancelled
     go_on.set()
     for thread in (first, second):
         thread.join()
-    assert owner.mirror.as_of > before and owner.engine.state.jobs["req-000001"].cancelled
+    assert leader.watch_cache.as_of > before and leader.scheduler.state.jobs["req-000001"].cancelled
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,14 +12,14 @@
 
 from bayford import cli, config, script
 from bayford.clock import NEVER
-from bayford.coordination.leadership.membership import lonely
+from bayford.coordination.leadership.membership import lacks_failover_neighbour
 from bayford.protocol import jobs, mesh, workers
 from bayford.scheduling import scaling
-from bayford.scheduling.policy import Policy
+from bayford.scheduling.policy import Policy, setting_name
 from bayford.storage import records
-from bayford.transport.concurrency_limit import Limit
-from bayford.transport.http_handlers import Front
-from bayford.transport.http_server import Request, Response, Server
+from bayford.transport.concurrency_limit import ConcurrencyLimit
+from bayford.transport.http_handlers import UserHandler
+from bayford.transport.http_server import HttpServer, Request, Response
 
 GOOD = json.loads(World(1).job(1))
 TEXT = SETTINGS.format(name="n9", zone="north", writes=15.0, value_kb=8.0, cancel_s=42.0, coming="")
@@ -37,12 +37,29 @@
 @pytest.mark.parametrize(
     "change",
     [
-        {"id": "job 1"}, {"id": "../x"}, {"id": 7}, {"parts": 0}, {"parts": 100_001}, {"parts": 2.5},
-        {"parts": True}, {"cpus": -1.0}, {"cpus": "1"}, {"cpus": None}, {"rank": "top"}, {"shape": "tree"},
-        {"together": 1}, {"builds": "small"}, {"builds": [1]}, {"yard": 3}, {"bundle": ""}, {"crew": None},
-        {"due_s": -1.0}, {"guess_s": [1]}, {"mem_gb": 1e300},
+        {"id": "job 1"},
+        {"id": "../x"},
+        {"id": 7},
+        {"parts": 0},
+        {"parts": 100_001},
+        {"parts": 2.5},
+        {"parts": True},
+        {"cpus": -1.0},
+        {"cpus": "1"},
+        {"cpus": None},
+        {"rank": "top"},
+        {"shape": "tree"},
+        {"together": 1},
+        {"builds": "small"},
+        {"builds": [1]},
+        {"yard": 3},
+        {"bundle": ""},
+        {"crew": None},
+        {"due_s": -1.0},
+        {"guess_s": [1]},
+        {"mem_gb": 1e300},
     ],
-)  # fmt: skip
+)
 def test_every_field_is_checked(change):
     with pytest.raises(jobs.InvalidError):
         jobs.parse_submission(orjson.dumps(GOOD | change))
@@ -119,12 +136,12 @@
     lines = [ln[2:] for ln in shipped.splitlines() if ln.startswith("# ") and " = " in ln]
     text = "\n".join(ln.split("#")[0] for ln in lines)
     assert script.evaluate(text, "p.star", config.parse(TEXT)) == Policy()
-    assert all(any(ln.startswith(f"{f} =") for ln in lines) for f in Policy.__slots__)
+    assert all(any(ln.startswith(f"{setting_name(f)} =") for ln in lines) for f in Policy.__slots__)
 
 
 def test_the_limit_falls_when_requests_get_slower_and_rises_again():
     now = [0.0]
-    limit = Limit(start=32.0, window=20, clock=lambda: now[0])
+    limit = ConcurrencyLimit(start=32.0, window=20, clock=lambda: now[0])
 
     def burst(seconds: float, count: int) -> None:
         for _ in range(count):
@@ -146,66 +163,78 @@
     assert limit.limit > slow
 
 
-def test_fleet_prefers_spot_remembers_refusals_and_takes_dear_machines_only_in_need():
+def test_fleet_prefers_spot_remembers_refusals_and_takes_on_demand_machines_only_in_need():
     types = World(1).catalog()
-    spot, dear = scaling.Option(0, 0, True), scaling.Option(0, 0, False)
-    need = scaling.Need(frozenset({spot, dear}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
+    spot, on_demand = scaling.MachinePool(0, 0, True), scaling.MachinePool(0, 0, False)
+    need = scaling.Demand(frozenset({spot, on_demand}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
 
     def ask(need, refused=(), spare=None, yields=0.0, busy=50.0):
         need = dataclasses.replace(need, yielded=yields)
-        got = scaling.wanted([need], types, spare or {}, frozenset(refused), busy, 1e9, 2.0)
-        return [(r.option, r.count) for r in got]
+        got = scaling.plan_launches([need], types, spare or {}, frozenset(refused), busy, 1e9, 2.0)
+        return [(r.pool, r.count) for r in got]
 
     assert ask(need) == [(spot, 2)]
     assert ask(need, spare={spot: 1}) == [(spot, 1)]
     assert ask(need, busy=1.0) == []
     assert ask(need, refused=[spot]) == []
-    alone = dataclasses.replace(need, cheap=0.0)
+    alone = dataclasses.replace(need, spot_cpus=0.0)
     assert ask(alone) == [(spot, 2)]
-    assert ask(alone, refused=[spot]) == [(dear, 2)], "no cheap one is there nor to be had"
-    late = scaling.Need(need.options, 8, 1.0, 0.0, 1.0, 20.0, False, 3, 640.0, 640.0)
-    assert ask(late, refused=[spot]) == [(dear, 1)], "only as many as are worth it"
-    urgent = scaling.Need(need.options, 8, 1.0, 0.0, 1.0, 20.0, True, 0, 640.0, 640.0)
-    assert ask(urgent, refused=[spot]) == [(dear, 2)]
+    assert ask(alone, refused=[spot]) == [(on_demand, 2)], "no cheap one is there nor to be had"
+    late = scaling.Demand(need.pools, 8, 1.0, 0.0, 1.0, 20.0, False, 3, 640.0, 640.0)
+    assert ask(late, refused=[spot]) == [(on_demand, 1)], "only as many as are worth it"
+    urgent = scaling.Demand(need.pools, 8, 1.0, 0.0, 1.0, 20.0, True, 0, 640.0, 640.0)
+    assert ask(urgent, refused=[spot]) == [(on_demand, 2)]
     assert ask(urgent, refused=[spot], yields=8.0) == [], "it may push out what yields"
 
 
-def test_the_owners_neighbour_should_be_in_the_other_zone():
+def test_the_leaders_neighbour_should_be_in_the_other_zone():
     zones = {f"n{n}": "east" if n % 2 else "west" for n in range(7)}
-    assert [name for name in sorted(zones) if lonely(name, zones)] == ["n6"], "n0 is next, and west too"
-    assert not any(lonely(name, {"n0": "a", "n1": "a"}) for name in ("n0", "n1")), "one zone: no difference"
+    assert [name for name in sorted(zones) if lacks_failover_neighbour(name, zones)] == ["n6"], (
+        "n0 is next, and west too"
+    )
+    assert not any(lacks_failover_neighbour(name, {"n0": "a", "n1": "a"}) for name in ("n0", "n1")), (
+        "one zone: no difference"
+    )
 
 
-def test_a_report_survives_the_relay():
+def test_a_heartbeat_survives_the_relay():
     body = (
         b'{"dock":"vm-1","addr":"1.2.3.4:5","build":"small","yard":"north","loaners":true,"shift":2,'
         b'"tick":9,"baton":4,"recall_s":null,"new":1,'
         b'"parts":[{"part":"req-1/3","try":2,"phase":"ended","cause":"done"}]}'
     )
-    report = workers.parse_report(body)
-    assert mesh.unpack_report(orjson.loads(orjson.dumps(mesh.pack_report(report)))) == report
+    heartbeat = workers.parse_heartbeat(body)
+    assert mesh.unpack_heartbeat(orjson.loads(orjson.dumps(mesh.pack_heartbeat(heartbeat)))) == heartbeat
     with pytest.raises(jobs.InvalidError):
-        workers.parse_report(body.replace(b'"shift":2', b'"shift":"2"'))
-
-
-def test_the_reports_of_a_whole_zone_fit_into_few_changes_of_the_state_service():
-    reports = [
-        workers.Report(
-            machine=f"vm-{n:06d}", address=f"10.1.{n // 250}.{n % 250}:9000", type="wrobel", zone="krakow",
-            spot=True, session=1, tick=n * 7, token=3,
+        workers.parse_heartbeat(body.replace(b'"shift":2', b'"shift":"2"'))
+
+
+def test_the_heartbeats_of_a_whole_zone_fit_into_few_changes_of_the_state_service():
+    heartbeats = [
+        workers.Heartbeat(
+            machine=f"vm-{n:06d}",
+            address=f"10.1.{n // 250}.{n % 250}:9000",
+            type="wrobel",
+            zone="krakow",
+            spot=True,
+            epoch=1,
+            sequence=n * 7,
+            fencing_token=3,
             tasks=[
-                workers.TaskState(part=f"req-{n * 37 % 999:06d}/{k + n}", attempt=n * 4 + k, phase="running")
+                workers.TaskState(
+                    task_id=f"req-{n * 37 % 999:06d}/{k + n}", attempt=n * 4 + k, phase="running"
+                )
                 for k in range(4)
             ],
         )
         for n in range(320)
-    ]  # fmt: skip
-    texts = mesh.pack_reports(reports, 8 * 1024 - 64)
+    ]
+    texts = mesh.pack_heartbeats(heartbeats, 8 * 1024 - 64)
     assert len(texts) <= 3 and all(len(text) <= 8 * 1024 - 64 for text in texts)
-    assert [r for text in texts for r in mesh.unpack_reports(text)] == reports
+    assert [r for text in texts for r in mesh.unpack_heartbeats(text)] == heartbeats
     for bad in ("!", "", texts[0][:-5]):
         with pytest.raises(ValueError):
-            mesh.unpack_reports(bad)
+            mesh.unpack_heartbeats(bad)
 
 
 def _ask(port: int, raw: bytes) -> bytes:
@@ -224,7 +253,7 @@
     def handle(request: Request) -> Response:
         return Response(200, request.body or request.path.encode())
 
-    server = Server("127.0.0.1", 0, handle, 8, "test")
+    server = HttpServer("127.0.0.1", 0, handle, 8, "test")
     server.start()
     two = b"GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"
     answer = _ask(server.port, two)
@@ -242,8 +271,8 @@
 def test_in_a_crowd_users_do_not_keep_connections_and_what_a_cut_left_behind_goes_soon():
     """A fleet that comes back from a cut found its own old connections, kept for 40 s, in its way."""
     w = World()
-    front = Front(w.nodes["n0"], Limit())
-    server = Server("127.0.0.1", 0, front.handle, 4, "crowd")
+    front = UserHandler(w.nodes["n0"], ConcurrencyLimit())
+    server = HttpServer("127.0.0.1", 0, front.handle, 4, "crowd")
     server.start()
     ask = b"GET /api/jobs/req-000001 HTTP/1.1\r\n\r\n"
 
@@ -261,14 +290,25 @@
             assert b"Connection: close" in answer(fourth) and fourth.recv(1) == b""
         assert b"Connection: close" not in answer(first), "there is room again"
     facts = w.settings("n0").facts.workers
-    report = orjson.dumps(
+    heartbeat = orjson.dumps(
         {
-            "dock": "vm-000001", "addr": "10.1.0.1:9000", "build": "small", "yard": "north", "loaners": True,
-            "shift": 1, "tick": 1, "baton": 0, "recall_s": None, "parts": [],
+            "dock": "vm-000001",
+            "addr": "10.1.0.1:9000",
+            "build": "small",
+            "yard": "north",
+            "loaners": True,
+            "shift": 1,
+            "tick": 1,
+            "baton": 0,
+            "recall_s": None,
+            "parts": [],
         }
-    )  # fmt: skip
-    kept = front.handle(Request("POST", workers.REPORT_PATH, report, NEVER))
-    assert kept.status in (200, 421, 503) and 1.25 * facts.report_s + 4.0 < kept.idle_s < facts.lease_s
+    )
+    kept = front.handle(Request("POST", workers.HEARTBEAT_PATH, heartbeat, NEVER))
+    assert (
+        kept.status in (200, 421, 503)
+        and 1.25 * facts.heartbeat_interval_s + 4.0 < kept.idle_s < facts.lease_s
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -9,12 +9,30 @@
 EXPECTED_S = 40.0
 
 
-def array(tasks: int = 10, waiting: int = 10, checkpoint_s: float = 0.0, shape: str = ARRAY) -> Job:
+def array(tasks: int = 10, waiting: int = 10, checkpoint_interval_s: float = 0.0, shape: str = ARRAY) -> Job:
     """A job of which two tasks run, created at second 0."""
     spec = JobSpec(
-        "req-1", "sweep", "red", 1, tasks, 1.0, 0.0, 1.0, "image", 1.0, None, None, False, False, True,
-        EXPECTED_S, checkpoint_s, 0.0, None, shape,
-    )  # fmt: skip
+        "req-1",
+        "sweep",
+        "red",
+        1,
+        tasks,
+        1.0,
+        0.0,
+        1.0,
+        "image",
+        1.0,
+        None,
+        None,
+        False,
+        False,
+        True,
+        EXPECTED_S,
+        checkpoint_interval_s,
+        0.0,
+        None,
+        shape,
+    )
     job = Job(spec, 0, 0, 0, None, None, created=0.0, created_wall=0.0)
     job.waiting = list(range(waiting))
     for task in (8, 9):
@@ -33,8 +51,8 @@
 
 def test_each_stop_makes_the_next_one_dearer():
     job = array()
-    job.note_stop(9)
-    job.note_stop(9)
+    job.note_preemption(9)
+    job.note_preemption(9)
     assert cost(job) == 2 * REPEATED_STOP * EXPECTED_S
 
 
@@ -51,7 +69,7 @@
 
 
 def test_what_keeps_its_progress_costs_nothing_more():
-    assert cost(array(waiting=0, checkpoint_s=30.0)) == 0.0
+    assert cost(array(waiting=0, checkpoint_interval_s=30.0)) == 0.0
     assert cost(array(waiting=0, shape=SERVICE)) == 0.0
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Loss and return of zones: the state machine, the records, and the owner in the simulated cluster."""
+"""Loss and return of zones: the state machine, the records, and the leader in the simulated cluster."""
 
 import json
 import random
@@ -11,11 +11,11 @@
 from world import World
 
 from bayford import cli
-from bayford.recovery import report, return_order, zone_record
-from bayford.recovery.task_outcomes import Fates
+from bayford.recovery import return_order, zone_record, zone_report
+from bayford.recovery.task_outcomes import TaskOutcomes
 from bayford.recovery.zone_health import (
     HealthTimes,
-    OwnerFacts,
+    LeadershipFacts,
     ZoneFacts,
     ZoneState,
     ZoneStatus,
@@ -28,11 +28,17 @@
 from bayford.storage import records
 
 RECOVER = Policy(
-    hold_s=0.0, hold_idle_s=0.0, recovery=True, return_order=("hot", "sweep"), extra_classes=("hot", "sweep"),
-    keep_idle_s=1e6, surplus_idle_s=1e6, dear_idle_s=1e6,
-)  # fmt: skip
-TIMES = HealthTimes(lease_s=12.0, report_s=2.0)
-SURE = OwnerFacts(True, True, 100.0)
+    hold_s=0.0,
+    hold_idle_s=0.0,
+    recovery=True,
+    return_order=("hot", "sweep"),
+    extra_classes=("hot", "sweep"),
+    keep_idle_s=1e6,
+    surplus_idle_s=1e6,
+    on_demand_idle_s=1e6,
+)
+TIMES = HealthTimes(lease_s=12.0, heartbeat_interval_s=2.0)
+VERIFIED = LeadershipFacts(True, True, 100.0)
 WELL, SILENT = ZoneFacts(8, 8, 8), ZoneFacts(8, 0, 0)
 NORTH, SOUTH, WEST = 0, 1, 2
 
@@ -41,12 +47,12 @@
 
 
 def play(
-    looks: list[tuple[float, ZoneFacts]], owner: OwnerFacts = SURE, others: ZoneFacts = WELL
+    looks: list[tuple[float, ZoneFacts]], leader: LeadershipFacts = VERIFIED, others: ZoneFacts = WELL
 ) -> list[ZoneStatus]:
     status = ZoneStatus()
     out = []
     for now, facts in looks:
-        unknown = blindness(owner, {NORTH: others, SOUTH: facts}, SOUTH, TIMES)
+        unknown = blindness(leader, {NORTH: others, SOUTH: facts}, SOUTH, TIMES)
         status = advance(status, facts, unknown, now, TIMES)
         out.append(status)
     return out
@@ -63,22 +69,28 @@
         (72.0, WELL),
     ]
     assert [s.state.value for s in play(looks)] == [
-        "up", "suspect", "suspect", "lost", "returning", "returning", "up",
-    ]  # fmt: skip
+        "up",
+        "suspect",
+        "suspect",
+        "lost",
+        "returning",
+        "returning",
+        "up",
+    ]
 
 
 @pytest.mark.parametrize(
-    ("owner", "others"),
+    ("leader", "others"),
     [
-        (OwnerFacts(False, True, 100.0), WELL),  # not sure to be the owner
-        (OwnerFacts(True, False, 100.0), WELL),  # the state service is out
-        (OwnerFacts(True, True, 3.0), WELL),  # it has just begun to listen, or stood still
-        (SURE, SILENT),  # nobody is heard: it is this owner that is cut off
-        (SURE, ZoneFacts(0, 0, 0)),  # a site of one zone
+        (LeadershipFacts(False, True, 100.0), WELL),  # not sure to be the leader
+        (LeadershipFacts(True, False, 100.0), WELL),  # the state service is out
+        (LeadershipFacts(True, True, 3.0), WELL),  # it has just begun to listen, or stood still
+        (VERIFIED, SILENT),  # nobody is heard: it is this leader that is cut off
+        (VERIFIED, ZoneFacts(0, 0, 0)),  # a site of one zone
     ],
 )
-def test_who_cannot_know_does_nothing(owner, others):
-    assert {s.state for s in play([(t, SILENT) for t in (0.0, 10.0, 30.0, 300.0)], owner, others)} == {
+def test_who_cannot_know_does_nothing(leader, others):
+    assert {s.state for s in play([(t, SILENT) for t in (0.0, 10.0, 30.0, 300.0)], leader, others)} == {
         ZoneState.UP
     }
 
@@ -100,18 +112,24 @@
     ]
     states = [(s.state.value, s.flaps) for s in play(looks)]
     assert states == [
-        ("up", 0), ("suspect", 0), ("up", 0), ("suspect", 1), ("returning", 1), ("returning", 1), ("up", 1),
-    ]  # fmt: skip
+        ("up", 0),
+        ("suspect", 0),
+        ("up", 0),
+        ("suspect", 1),
+        ("returning", 1),
+        ("returning", 1),
+        ("up", 1),
+    ]
     assert TIMES.settle_s(2) == 2 * TIMES.settle_s(1) == 4 * TIMES.lease_s
 
 
 def test_two_zones_lost_one_after_the_other():
     zones = {NORTH: WELL, SOUTH: SILENT, WEST: WELL}
-    assert blindness(SURE, zones, SOUTH, TIMES) == ""
+    assert blindness(VERIFIED, zones, SOUTH, TIMES) == ""
     zones[WEST] = SILENT
-    assert blindness(SURE, zones, WEST, TIMES) == blindness(SURE, zones, SOUTH, TIMES) == ""
+    assert blindness(VERIFIED, zones, WEST, TIMES) == blindness(VERIFIED, zones, SOUTH, TIMES) == ""
     zones[NORTH] = SILENT
-    assert "fault may be here" in blindness(SURE, zones, WEST, TIMES)
+    assert "fault may be here" in blindness(VERIFIED, zones, WEST, TIMES)
 
 
 def test_a_zone_without_machines_is_tried_again_after_a_while():
@@ -133,9 +151,9 @@
         (4, "hot", "idle"),
     ):
         cluster.submit("n0", cluster.job(number, lane=lane, rank=rank, parts=1))
-    cluster.nodes["n0"].mirror.pull(0.0)
+    cluster.nodes["n0"].watch_cache.pull(0.0)
     jobs = sorted(
-        cluster.nodes["n0"].engine.state.jobs.values(),
+        cluster.nodes["n0"].scheduler.state.jobs.values(),
         key=lambda job: return_order.rank(job, RECOVER.return_order),
     )
     assert [job.spec.job_class for job in jobs] == ["hot", "sweep", "extra", "trickle"]
@@ -153,21 +171,21 @@
 
 @given(st.sets(st.tuples(st.integers(0, 2), st.integers(0, 4))), fate_events, st.integers(500, 4096))
 def test_each_task_has_one_fate_and_the_record_fits_and_comes_back(tasks, events, most):
-    fates = Fates(1.0, 2.0, open={(f"req-{job:06d}", task) for job, task in tasks})
+    outcomes = TaskOutcomes(1.0, 2.0, open={(f"req-{job:06d}", task) for job, task in tasks})
     for event, job, task in events:
         key = (f"req-{job:06d}", task)
         if event == "done":
-            fates.note_done(key)
+            outcomes.note_done(key)
         elif event == "placed":
-            fates.note_placed(key, "vm-000001")
+            outcomes.note_placed(key, "vm-000001")
         elif event == "cancelled":
-            fates.note_cancelled(key)
+            outcomes.on_cancelled(key)
         else:
-            fates.note_over(key)
-    found = [fates.open, fates.finished, set(fates.again), fates.cancelled, fates.over]
+            outcomes.note_over(key)
+    found = [outcomes.open, outcomes.finished, set(outcomes.again), outcomes.cancelled, outcomes.over]
     assert sum(len(keys) for keys in found) == len(set().union(*found)) == len(tasks)
-    assert Fates.of(fates.record()) == fates
-    losses = [fates.record()] * 12
+    assert TaskOutcomes.of(outcomes.record()) == outcomes
+    losses = [outcomes.record()] * 12
     value = zone_record.encode(zone_record.ZoneRecord("north", "lost", 1.0, 0, losses), most)
     assert records.size(value) <= most
     last = zone_record.decode(json.loads(json.dumps(value))).losses[-1]
@@ -182,7 +200,7 @@
         zone_record.decode(stored)
     cluster = two_zones()
     cluster.state._change([records_put("north", stored or 0)])
-    cluster.boot(cluster.owner())
+    cluster.boot(cluster.leader())
     wait(cluster, 10.0, fleet=True)
     assert any("taken for absent" in r.getMessage() for r in caplog.records)
     cluster.submit("n0", cluster.job(9, crew="open"))
@@ -198,23 +216,32 @@
 
 def test_what_operators_read():
     loss = zone_record.Loss(
-        10.0, 24.0, 0.0, {"req-000001": [0, 2]}, {"req-000002": [1, 1]},
-        {"req-000003": [zone_record.Elsewhere(4, "vm-000009")]}, {"req-000004": [0, 0, 3, 4]},
-    )  # fmt: skip
+        10.0,
+        24.0,
+        0.0,
+        {"req-000001": [0, 2]},
+        {"req-000002": [1, 1]},
+        {"req-000003": [zone_record.Elsewhere(4, "vm-000009")]},
+        {"req-000004": [0, 0, 3, 4]},
+    )
     zones = [
         zone_record.ZoneRecord("south", "lost", 24.0, 1, [loss]),
         zone_record.ZoneRecord("north", "up", 0.0),
     ]
-    text = report.as_text(zones)
-    for part in (
-        "zone south: lost since 1970-01-01 00:00:24 UTC, 1 flaps", "not back",
+    text = zone_report.as_text(zones)
+    for task_id in (
+        "zone south: lost since 1970-01-01 00:00:24 UTC, 1 flaps",
+        "not back",
         "8 tasks: 1 finished there, 1 run again, 3 cancelled, 0 over when an owner began, 3 open\n",
         "req-000003 run again: 4 on vm-000009",
-        "req-000001 open: 0-2", "req-000004 cancelled: 0, 3-4", "zone north: up", "never lost",
-    ):  # fmt: skip
-        assert part in text
-    assert json.loads(report.as_json(zones))["zones"][0]["losses"][0]["totals"]["again"] == 1
-    assert report.as_text([]) == "no zone was ever lost"
+        "req-000001 open: 0-2",
+        "req-000004 cancelled: 0, 3-4",
+        "zone north: up",
+        "never lost",
+    ):
+        assert task_id in text
+    assert json.loads(zone_report.as_json(zones))["zones"][0]["losses"][0]["totals"]["again"] == 1
+    assert zone_report.as_text([]) == "no zone was ever lost"
 
 
 def test_the_command_says_when_the_state_service_is_out(tmp_path, capsys):
@@ -246,16 +273,16 @@
     assert field in capsys.readouterr().err
 
 
-# -- the owner
+# -- the leader
 
 
 def two_zones(machines: int = 8, nodes: int = 3, seed: int = 1) -> World:
-    """Machines in two zones, and an owner in the north."""
+    """Machines in two zones, and a leader in the north."""
     cluster = World(nodes, policy=RECOVER, seed=seed)
     cluster.capacity = 0
     for n in range(machines):
         cluster.machine(zone="south" if n % 2 else "north")
-    wait(cluster, 16.0)  # for longer than a lease: an owner that has just begun can't know
+    wait(cluster, 16.0)  # for longer than a lease: a leader that has just begun can't know
     return cluster
 
 
@@ -270,8 +297,8 @@
 
 
 def zone_state(cluster: World, zone: str = "south") -> str:
-    owner = cluster.nodes[cluster.owner()].engine
-    return owner.zone_watch.statuses[owner.state.zones.find(zone)].state.value
+    leader = cluster.nodes[cluster.leader()].scheduler
+    return leader.zone_monitor.statuses[leader.state.zones.find(zone)].state.value
 
 
 def stored(cluster: World, zone: str = "south") -> zone_record.ZoneRecord:
@@ -279,7 +306,7 @@
 
 
 def in_zone(cluster: World, zone: str = "south") -> list[str]:
-    return sorted(part for w in cluster.workers.values() if w.zone == zone for part in w.running())
+    return sorted(task_id for w in cluster.workers.values() if w.zone == zone for task_id in w.running())
 
 
 def full_of_work(cluster: World, **fields) -> list[str]:
@@ -301,7 +328,7 @@
     wait(cluster, 14.0)
     assert zone_state(cluster) == "lost"
     assert stored(cluster).losses[-1].totals()["open"] == len(there)
-    assert cluster.nodes[cluster.owner()].engine.state.jobs["req-000002"].waiting == [0], (
+    assert cluster.nodes[cluster.leader()].scheduler.state.jobs["req-000002"].waiting == [0], (
         "nothing is placed there"
     )
     heal(cluster)
@@ -320,50 +347,54 @@
     assert zone_state(cluster) == "suspect"
     cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south"))
     wait(cluster, 14.0)
-    engine = cluster.nodes[cluster.owner()].engine
+    scheduler = cluster.nodes[cluster.leader()].scheduler
     assert zone_state(cluster) == "lost"
-    assert engine.state.jobs["req-000002"].open == {}, (
+    assert scheduler.state.jobs["req-000002"].open == {}, (
         "there is room on machines that nobody has heard of for a while"
     )
-    south = [m for m in engine.state.machines.values() if engine.state.zones[m.zone] == "south"]
+    south = [m for m in scheduler.state.machines.values() if scheduler.state.zones[m.zone] == "south"]
     for machine in south:
         machine.images[77] = True
-        engine.state.room.holds(machine, 77)
+        scheduler.state.capacity_index.holds(machine, 77)
     heal(cluster)
     while zone_state(cluster) == "lost":
         wait(cluster, 0.5)
     assert not any(77 in machine.images for machine in south), "it may be cold"
-    assert zone_state(cluster) == "returning" and not engine.state.verified_machines
-    engine.round()
-    assert engine.state.jobs["req-000002"].open == {}, "one report may have been held back by the cut"
+    assert zone_state(cluster) == "returning" and not scheduler.state.verified_machines
+    scheduler.round()
+    assert scheduler.state.jobs["req-000002"].open == {}, "one report may have been held back by the cut"
     wait(cluster, 6.0)
     assert len(in_zone(cluster)) == 2
 
 
-def test_only_a_few_machines_are_rented_into_a_zone_of_which_nothing_answers():
+def test_only_a_few_machines_are_launched_into_a_zone_of_which_nothing_answers():
     cluster = two_zones()
-    engine = cluster.nodes[cluster.owner()].engine
-    engine.state.returning_zones = frozenset({engine.state.zones.find("south")})
-    gone = [m for m in engine.state.machines.values() if m.zone not in engine.state.returning_zones]
-    present = [(scaling.Option(m.type, m.zone, m.spot), m) for m in gone]
-    south, north = (scaling.Option(0, engine.state.zones.find(name), True) for name in ("south", "north"))
-    wanted = [scaling.Rental(south, 20, "backlog"), scaling.Rental(north, 20, "backlog")]
-    assert [r.count for r in engine.autoscaler._paced(wanted, present)] == [RECOVER.recovery_least, 20]
-    engine.state.renting[south] = 2
-    assert [r.count for r in engine.autoscaler._paced(wanted, present)] == [1, 20]
-    engine.state.verified_machines = frozenset(
-        {next(m.index for m in engine.state.machines.values() if m not in gone)}
+    scheduler = cluster.nodes[cluster.leader()].scheduler
+    scheduler.state.returning_zones = frozenset({scheduler.state.zones.find("south")})
+    deleted_machines = [
+        m for m in scheduler.state.machines.values() if m.zone not in scheduler.state.returning_zones
+    ]
+    present = [(scaling.MachinePool(m.type, m.zone, m.spot), m) for m in deleted_machines]
+    south, north = (
+        scaling.MachinePool(0, scheduler.state.zones.find(name), True) for name in ("south", "north")
     )
-    present += [(south, engine.state.machines[index]) for index in engine.state.verified_machines]
-    assert [r.count for r in engine.autoscaler._paced(wanted, present)] == [20, 20]
+    wanted = [scaling.LaunchPlan(south, 20, "backlog"), scaling.LaunchPlan(north, 20, "backlog")]
+    assert [r.count for r in scheduler.autoscaler._paced(wanted, present)] == [RECOVER.recovery_least, 20]
+    scheduler.state.launching[south] = 2
+    assert [r.count for r in scheduler.autoscaler._paced(wanted, present)] == [1, 20]
+    scheduler.state.verified_machines = frozenset(
+        {next(m.index for m in scheduler.state.machines.values() if m not in deleted_machines)}
+    )
+    present += [(south, scheduler.state.machines[index]) for index in scheduler.state.verified_machines]
+    assert [r.count for r in scheduler.autoscaler._paced(wanted, present)] == [20, 20]
 
-    engine.state.verified_machines = frozenset()
-    engine.state.renting.clear()
-    engine.deleted([m.name for m in engine.state.machines.values() if m.zone == south.zone])
+    scheduler.state.verified_machines = frozenset()
+    scheduler.state.launching.clear()
+    scheduler.deleted([m.name for m in scheduler.state.machines.values() if m.zone == south.zone])
     cluster.submit("n0", cluster.job(1, crew="open", parts=80, guess_s=900.0, yard="south"))
-    cluster.nodes[cluster.owner()].mirror.pull(0.0)
-    step = engine.fleet_step(cluster.clock.now)
-    assert [(order.zone, order.count) for order in step.rentals] == [("south", RECOVER.recovery_least)]
+    cluster.nodes[cluster.leader()].watch_cache.pull(0.0)
+    step = scheduler.scaling_step(cluster.clock.now)
+    assert [(order.zone, order.count) for order in step.launches] == [("south", RECOVER.recovery_least)]
 
 
 def test_cancelled_during_the_cut():
@@ -372,7 +403,7 @@
     cut_zone(cluster)
     wait(cluster, 22.0)
     assert cluster.cancel("n0", "req-000001") == "aborted"
-    wait(cluster, 30.0)  # the machines' sessions have ended, the silent ones are deleted
+    wait(cluster, 30.0)  # the machines' epochs have ended, the silent ones are deleted
     heal(cluster)
     wait(cluster, 60.0)
     assert running(cluster) == []
@@ -381,35 +412,35 @@
 
 @pytest.mark.parametrize("when", ["before", "during", "after"])
 def test_a_task_that_ends_on_a_machine_that_was_declared_lost(when):
-    """Its report comes before the task is requeued, while it waits, or after another attempt has ended."""
+    """Its heartbeat comes before the task is requeued, while it waits, or after another attempt has ended."""
     cluster = two_zones()
     there = full_of_work(cluster)
-    part = there[0]
-    worker = next(w for w in cluster.workers.values() if part in w.running())
+    task_id = there[0]
+    worker = next(w for w in cluster.workers.values() if task_id in w.running())
     cut_zone(cluster)
     wait(cluster, 8.0)
-    worker.finish(part)
-    cluster.done_tasks.add(part)
-    late = worker.report()
+    worker.finish(task_id)
+    cluster.done_tasks.add(task_id)
+    late = worker.heartbeat()
     wait(cluster, {"before": 4.0, "during": 34.0, "after": 34.0}[when])
     if when == "after":
         heal(cluster)
         for _ in range(4):  # room for what was lost
             cluster.machine(zone="north")
         wait(cluster, 30.0)
-        cluster.finish(part)
+        cluster.finish(task_id)
         wait(cluster, 4.0)
-    cluster.replay(late, cluster.owner())
+    cluster.replay(late, cluster.leader())
     wait(cluster, 4.0)
     heal(cluster)
     wait(cluster, 40.0)
-    owner = cluster.nodes[cluster.owner()].engine
+    leader = cluster.nodes[cluster.leader()].scheduler
     if when == "during":
         assert worker.name in cluster.deleted, (
             "its machine is gone by then, and what it says counts for nothing"
         )
-    job = owner.state.jobs["req-000001"]
-    task = int(part.split("/")[1])
+    job = leader.state.jobs["req-000001"]
+    task = int(task_id.split("/")[1])
     assert task not in job.open or task not in job.done
     assert len(set(running(cluster))) == len(running(cluster))
 
@@ -417,21 +448,21 @@
 def test_late_copies_after_the_return_open_and_close_nothing():
     cluster = two_zones()
     full_of_work(cluster)
-    copies = [worker.report() for worker in cluster.workers.values()]
+    copies = [worker.heartbeat() for worker in cluster.workers.values()]
     cut_zone(cluster)
     wait(cluster, 22.0)
     heal(cluster)
     wait(cluster, 6.0)
     before = running(cluster), zone_state(cluster)
     for copy in copies:
-        cluster.replay(copy, cluster.owner())
-    engine = cluster.nodes[cluster.owner()].engine
-    engine.round()
+        cluster.replay(copy, cluster.leader())
+    scheduler = cluster.nodes[cluster.leader()].scheduler
+    scheduler.round()
     assert (running(cluster), zone_state(cluster)) == before
     assert len(running(cluster)) == len(set(running(cluster)))
 
 
-def test_the_owner_ends_in_the_middle_of_the_return():
+def test_the_leader_ends_in_the_middle_of_the_return():
     cluster = two_zones()
     there = full_of_work(cluster)
     cut_zone(cluster)
@@ -439,10 +470,10 @@
     assert zone_state(cluster) == "lost"
     heal(cluster)
     wait(cluster, 4.0)
-    first = cluster.owner()
+    first = cluster.leader()
     del cluster.nodes[first]
     wait(cluster, 5.0)
-    assert cluster.owner() not in (None, first)
+    assert cluster.leader() not in (None, first)
     assert zone_state(cluster) in ("lost", "returning"), "the new owner goes on with what is stored"
     wait(cluster, 60.0)
     assert zone_state(cluster) == "up"
@@ -451,7 +482,7 @@
     assert len(running(cluster)) == len(set(running(cluster))) == 4 * len(cluster.workers)
 
 
-def test_what_ended_between_two_owners_is_told_as_that():
+def test_what_ended_between_two_leaders_is_told_as_that():
     """It was told as cancelled, since its job was gone."""
     cluster = two_zones()
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, yard="south", guess_s=900.0))
@@ -461,28 +492,28 @@
     assert len(there) == 6
     cut_zone(cluster)
     wait(cluster, 22.0)
-    owner = cluster.owner()
-    engine = cluster.nodes[owner].engine
+    leader = cluster.leader()
+    scheduler = cluster.nodes[leader].scheduler
     record_then = cluster.state.rows[zone_record.key("south")]
     heal(cluster)
     wait(cluster, 24.0)  # it all runs again; two tasks end, and one job is over
-    for part in in_zone(cluster):
-        if part.startswith("req-000002"):
-            cluster.finish(part)
+    for task_id in in_zone(cluster):
+        if task_id.startswith("req-000002"):
+            cluster.finish(task_id)
     wait(cluster, 4.0)
-    assert cluster.query("n0", "req-000002") == "done" and engine.owner
+    assert cluster.query("n0", "req-000002") == "done" and scheduler.leader
     cluster.state.rows[zone_record.key("south")] = record_then  # the last record that was written before
-    cluster.boot(owner)
+    cluster.boot(leader)
     wait(cluster, 8.0)
     totals = stored(cluster).losses[-1].totals()
     assert totals["over"] == 2 and totals["cancelled"] == 0 and sum(totals.values()) == 6
 
 
-def test_an_owner_in_the_lost_zone_gives_way_and_the_next_one_tells_the_loss():
+def test_an_leader_in_the_lost_zone_gives_way_and_the_next_one_tells_the_loss():
     cluster = two_zones()
     full_of_work(cluster)
-    owner = cluster.owner()
-    zone = cluster.nodes[owner].settings.site
+    leader = cluster.leader()
+    zone = cluster.nodes[leader].settings.site
     cut_zone(cluster, zone)
     for name, node in cluster.nodes.items():
         if node.settings.site == zone:
@@ -492,9 +523,9 @@
     wait(cluster, 50.0)
     others = [name for name, node in cluster.nodes.items() if node.settings.site != zone]
     for name in others:
-        if cluster.nodes[name].engine.owner:
-            watch = cluster.nodes[name].engine.zone_watch
-            lost = cluster.nodes[name].engine.state.zones.find(zone)
+        if cluster.nodes[name].scheduler.leader:
+            watch = cluster.nodes[name].scheduler.zone_monitor
+            lost = cluster.nodes[name].scheduler.state.zones.find(zone)
             assert watch.statuses[lost].state is not ZoneState.UP
             assert sum(watch.losses[lost][0].record().totals().values()) == 16
             break
@@ -526,17 +557,19 @@
     assert len(running(cluster)) == len(set(running(cluster))) == 4 * len(cluster.workers)
 
 
-def test_the_cloud_confirms_a_deletion_while_the_machine_still_reports():
+def test_the_cloud_confirms_a_deletion_while_the_machine_still_heartbeats():
     cluster = two_zones()
     full_of_work(cluster)
     ghost = next(w for w in cluster.workers.values() if w.zone == "south")
-    late = ghost.report()
+    late = ghost.heartbeat()
     cut_zone(cluster)
     wait(cluster, 40.0)
     assert ghost.name in cluster.deleted
-    before = cluster.nodes[cluster.owner()].engine.state.machines.keys()
-    cluster.replay(late, cluster.owner())
-    assert ghost.name not in {cluster.nodes[cluster.owner()].engine.state.machines_by[i] for i in before}
+    before = cluster.nodes[cluster.leader()].scheduler.state.machines.keys()
+    cluster.replay(late, cluster.leader())
+    assert ghost.name not in {
+        cluster.nodes[cluster.leader()].scheduler.state.machine_names[i] for i in before
+    }
 
 
 def test_services_bound_to_the_zone_and_gangs_with_a_part_inside():
@@ -573,24 +606,24 @@
     for _ in range(2):  # room for two of the three
         cluster.machine(zone="south")
     wait(cluster, 16.0)
-    assert {part[:10] for part in in_zone(cluster)} == {"req-000004", "req-000003"}, "hot, then sweep"
-    jobs = cluster.nodes[cluster.owner()].engine.state.jobs
+    assert {task_id[:10] for task_id in in_zone(cluster)} == {"req-000004", "req-000003"}, "hot, then sweep"
+    jobs = cluster.nodes[cluster.leader()].scheduler.state.jobs
     hot, sweep = (
-        [place.attempt for place in jobs[name].open.values()] for name in ("req-000004", "req-000003")
+        [placement.attempt for placement in jobs[name].open.values()] for name in ("req-000004", "req-000003")
     )
     assert max(hot) < min(sweep)
-    for part in in_zone(cluster):
-        if part.startswith("req-000004"):
-            cluster.finish(part)
+    for task_id in in_zone(cluster):
+        if task_id.startswith("req-000004"):
+            cluster.finish(task_id)
     wait(cluster, 20.0)
-    assert {part[:10] for part in in_zone(cluster)} == {"req-000003", "req-000002"}, "nobody is starved"
+    assert {task_id[:10] for task_id in in_zone(cluster)} == {"req-000003", "req-000002"}, "nobody is starved"
 
 
 # -- whatever happens
 
 
 class ZonesUnderTrouble(RuleBasedStateMachine):
-    """Random cuts, returns, reports, copies, cancels and takeovers; the rules are checked at each step."""
+    """Random cuts, returns, reports, copies, cancels and failovers; the rules are checked at each step."""
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed):
@@ -619,7 +652,7 @@
 
     @rule()
     def copy_reports(self):
-        self.copies += [worker.report() for worker in self.cluster.workers.values()]
+        self.copies += [worker.heartbeat() for worker in self.cluster.workers.values()]
 
     @precondition(lambda self: self.copies)
     @rule()
@@ -634,13 +667,13 @@
 
     @rule()
     def finish_some(self):
-        for part in running(self.cluster)[::3]:
-            self.cluster.finish(part)
+        for task_id in running(self.cluster)[::3]:
+            self.cluster.finish(task_id)
 
-    @precondition(lambda self: self.cluster.owner() is not None)
+    @precondition(lambda self: self.cluster.leader() is not None)
     @rule()
-    def end_owner(self):
-        self.cluster.boot(self.cluster.owner())
+    def end_leader(self):
+        self.cluster.boot(self.cluster.leader())
 
     @rule(seconds=st.sampled_from([1.0, 4.0, 14.0]))
     def time_passes(self, seconds):
@@ -652,13 +685,19 @@
             return
         self.cluster.check()
         assert len(running(self.cluster)) == len(set(running(self.cluster)))
-        owner = self.cluster.owner()
-        if owner is None:
+        leader = self.cluster.leader()
+        if leader is None:
             return
-        engine = self.cluster.nodes[owner].engine
-        for losses in engine.zone_watch.losses.values():
-            for fates in losses:
-                sets = [fates.open, fates.finished, set(fates.again), fates.cancelled, fates.over]
+        scheduler = self.cluster.nodes[leader].scheduler
+        for losses in scheduler.zone_monitor.losses.values():
+            for outcomes in losses:
+                sets = [
+                    outcomes.open,
+                    outcomes.finished,
+                    set(outcomes.again),
+                    outcomes.cancelled,
+                    outcomes.over,
+                ]
                 assert sum(len(found) for found in sets) == len(set().union(*sets))
 
     def teardown(self):
--- a/tests/test_room_index.py
+++ b/tests/test_room_index.py
@@ -1,10 +1,10 @@
-"""`RoomIndex` finds what a look at the whole fleet would find, whatever has happened to the machines."""
+"""`CapacityIndex` finds what a look at the whole fleet would find, whatever has happened to the machines."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from bayford.scheduling import placement_rules
-from bayford.scheduling.capacity_index import RoomIndex
+from bayford.scheduling.capacity_index import CapacityIndex
 from bayford.scheduling.model import Job, JobSpec, Machine
 
 CPUS = 8.0
@@ -14,16 +14,43 @@
 
 def make_job(image: int, cpus: float, mem_gb: float, zone: int | None, spot: bool, tasks: int = 5) -> Job:
     spec = JobSpec(
-        "req-1", "sweep", "open", 1, tasks, cpus, 0.0, mem_gb, f"img-{image}", 1.0, None,
-        None if zone is None else f"zone-{zone}", False, False, spot, 20.0, 0.0, 0.0, None,
-    )  # fmt: skip
+        "req-1",
+        "sweep",
+        "open",
+        1,
+        tasks,
+        cpus,
+        0.0,
+        mem_gb,
+        f"img-{image}",
+        1.0,
+        None,
+        None if zone is None else f"zone-{zone}",
+        False,
+        False,
+        spot,
+        20.0,
+        0.0,
+        0.0,
+        None,
+    )
     return Job(spec, 0, image, 0, zone, None, 0.0, 0.0)
 
 
 machines = st.builds(
-    lambda spot, zone, used, mem_gb, images, full, notice: Machine(
-        0, "", type=0, zone=zone, spot=spot, cpus=CPUS, echoed=True, free_cpus=CPUS - used, free_mem=mem_gb,
-        images=images, full_until=1.0 if full else 0.0, notice=1.0 if notice else None,
+    lambda spot, zone, used, mem_gb, images, full, reclaim_at: Machine(
+        0,
+        "",
+        type=0,
+        zone=zone,
+        spot=spot,
+        cpus=CPUS,
+        token_acknowledged=True,
+        free_cpus=CPUS - used,
+        free_mem=mem_gb,
+        images=images,
+        backoff_until=1.0 if full else 0.0,
+        reclaim_at=1.0 if reclaim_at else None,
     ),
     spot=st.booleans(),
     zone=st.integers(0, ZONES - 1),
@@ -31,8 +58,8 @@
     mem_gb=st.sampled_from([2.0, 8.0, 32.0]),
     images=st.dictionaries(st.integers(0, IMAGES - 1), st.booleans(), max_size=IMAGES),
     full=st.booleans(),
-    notice=st.booleans(),
-)  # fmt: skip
+    reclaim_at=st.booleans(),
+)
 jobs = st.builds(
     make_job,
     image=st.integers(0, IMAGES),
@@ -43,8 +70,8 @@
 )
 
 
-def indexed(fleet: list[Machine]) -> RoomIndex:
-    room = RoomIndex()
+def indexed(fleet: list[Machine]) -> CapacityIndex:
+    room = CapacityIndex()
     for index, machine in enumerate(fleet):
         machine.index = index
         room.update(machine)
@@ -58,7 +85,9 @@
     return [m for m in found if job.image in m.images] if with_image_only else found
 
 
-def assert_same(room: RoomIndex, fleet: list[Machine], job: Job, count: int, with_image_only: bool) -> None:
+def assert_same(
+    room: CapacityIndex, fleet: list[Machine], job: Job, count: int, with_image_only: bool
+) -> None:
     def may_take(machine: Machine) -> bool:
         return placement_rules.eligible(job, machine, {}, 0.0)
 
@@ -96,9 +125,9 @@
         elif machine.index not in present:
             continue
         elif event == "take" and machine.has_room(booked.spec):
-            machine.take(booked.spec)
+            machine.reserve(booked.spec)
         elif event == "give" and machine.free_cpus < CPUS:
-            machine.give(booked.spec)
+            machine.release(booked.spec)
         elif event == "image":
             machine.images[image] = True
             room.holds(machine, image)
@@ -116,7 +145,17 @@
 
 def test_a_search_does_not_look_at_the_whole_fleet():
     fleet = [
-        Machine(0, "", type=0, zone=n % 2, spot=True, cpus=CPUS, echoed=True, free_cpus=CPUS, free_mem=32.0)
+        Machine(
+            0,
+            "",
+            type=0,
+            zone=n % 2,
+            spot=True,
+            cpus=CPUS,
+            token_acknowledged=True,
+            free_cpus=CPUS,
+            free_mem=32.0,
+        )
         for n in range(4000)
     ]
     room = indexed(fleet)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The service at 4,000 machines: a start, a takeover and the loss of 500 machines, and its fixed limits."""
+"""The service at 4,000 machines: a start, a failover and the loss of 500 machines, and its fixed limits."""
 
 import collections
 import itertools
@@ -11,19 +11,19 @@
 from world import Attempt, World
 
 from bayford.config import Settings
-from bayford.coordination.leader.autoscaler import Deletion, FleetStep, RentalOrder
-from bayford.coordination.leader.cloud_operations import LIST_SHARE, OWNER_SHARE, CloudCalls
-from bayford.coordination.leader.scheduler import Engine
-from bayford.coordination.workers.relay import reports_in
+from bayford.coordination.leader.autoscaler import Deletion, LaunchRequest, ScalingActions
+from bayford.coordination.leader.cloud_operations import LEADER_SHARE, LIST_SHARE, CloudOperations
+from bayford.coordination.leader.scheduler import Scheduler
+from bayford.coordination.workers.relay import heartbeats_in
 from bayford.protocol import workers
 from bayford.protocol.cloud_api import LIST_PAGE, CloudBusyError, Listed, MachinePage
 from bayford.scheduling.model import MachineType
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
 from bayford.storage.key_value_store import Row
-from bayford.transport.concurrency_limit import Limit
-from bayford.transport.http_handlers import Front
-from bayford.transport.http_server import Server
+from bayford.transport.concurrency_limit import ConcurrencyLimit
+from bayford.transport.http_handlers import UserHandler
+from bayford.transport.http_server import HttpServer
 
 MACHINES = 4000
 CPUS = 4  # of each machine
@@ -35,7 +35,7 @@
 
 
 def pass_scaled(cluster: World, seconds: float, until_running: int | None = None) -> None:
-    """Time passes; of the workers a quarter reports in each half second, each every two seconds."""
+    """Time passes; of the workers a quarter heartbeats in each half second, each every two seconds."""
     for step in range(int(seconds / STEP_S)):
         cluster.pass_time(STEP_S)
         for n, worker in enumerate(list(cluster.workers.values())):
@@ -56,9 +56,9 @@
     return sum(len(worker.running()) for worker in cluster.workers.values())
 
 
-def test_4000_machines_start_change_their_owner_and_lose_500():
+def test_4000_machines_start_change_their_leader_and_lose_500():
     cluster = World(nodes=3, value_kb=8.0)
-    cluster.pause_s = 0.0005  # 4,000 reports wait for a read each, and their times add up here
+    cluster.pause_s = 0.0005  # 4,000 heartbeats wait for a read each, and their times add up here
     cluster.capacity = 0  # no more than these, but in the place of some that are deleted
     for n in range(MACHINES):
         cluster.machine(zone="north" if n % 2 else "south")
@@ -69,14 +69,14 @@
 
     pass_scaled(cluster, 40.0, until_running=tasks)
     assert running_count(cluster) == tasks, "every machine is used to the full"
-    first = cluster.owner()
+    first = cluster.leader()
     assert first is not None
-    assert len(cluster.nodes[first].engine.state.machines) == MACHINES
+    assert len(cluster.nodes[first].scheduler.state.machines) == MACHINES
 
     before = {worker.name: sorted(worker.running()) for worker in cluster.workers.values()}
     del cluster.nodes[first]
     pass_scaled(cluster, 30.0)
-    second = cluster.owner()
+    second = cluster.leader()
     assert second not in (None, first)
     assert {worker.name: sorted(worker.running()) for worker in cluster.workers.values()} == before
     assert cluster.deleted == [], "a takeover costs no machine"
@@ -88,7 +88,9 @@
     pass_scaled(cluster, 30.0)
     assert set(cluster.deleted) == {worker.name for worker in lost}
     pass_scaled(cluster, 40.0, until_running=tasks)
-    parts = collections.Counter(part for worker in cluster.workers.values() for part in worker.running())
+    parts = collections.Counter(
+        task_id for worker in cluster.workers.values() for task_id in worker.running()
+    )
     assert len(parts) == tasks and set(parts.values()) == {1}
     assert len(cluster.workers) == MACHINES
 
@@ -99,25 +101,25 @@
     def __init__(self, rps: float, count: int) -> None:
         self.now = 0.0
         self.rps = rps
-        self.saved = 2.0 * rps
+        self.checkpointed = 2.0 * rps
         self.filled = 0.0
         self.names = [f"vm-{n:06d}" for n in range(count)]
         self.calls: list[tuple[float, str]] = []
         self.busy = 0
 
     def _enter(self, call: str) -> None:
-        self.saved = min(2.0 * self.rps, self.saved + (self.now - self.filled) * self.rps)
+        self.checkpointed = min(2.0 * self.rps, self.checkpointed + (self.now - self.filled) * self.rps)
         self.filled = self.now
-        if self.saved < 1.0:
+        if self.checkpointed < 1.0:
             self.busy += 1
             raise CloudBusyError("429")
-        self.saved -= 1.0
+        self.checkpointed -= 1.0
         self.calls.append((self.now, call))
 
     def catalog(self) -> list[MachineType]:
         return []
 
-    def rent(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
+    def launch(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
         self._enter("rent")
         return [f"{request}-{n}" for n in range(count)]
 
@@ -134,76 +136,79 @@
 class SureOwner:
     """Standing that nobody doubts."""
 
-    def sure_owner(self) -> bool:
+    def is_verified_leader(self) -> bool:
         return True
 
-    def unrivalled(self) -> bool:
+    def no_competing_leader(self) -> bool:
         return False
 
 
-def owner_with_cloud(cloud: PacedCloud, settings: Settings) -> tuple[Engine, CloudCalls]:
-    engine = Engine(settings, Policy(), lambda: cloud.now, lambda: cloud.now, random.Random(1))
-    engine.set_types([MachineType("small", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"))])
-    engine.adopt([], term=1, token=1, as_of=0.0)
+def leader_with_cloud(cloud: PacedCloud, settings: Settings) -> tuple[Scheduler, CloudOperations]:
+    scheduler = Scheduler(settings, Policy(), lambda: cloud.now, lambda: cloud.now, random.Random(1))
+    scheduler.set_types([MachineType("small", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"))])
+    scheduler.recover([], term=1, fencing_token=1, as_of=0.0)
 
     def pause(event: threading.Event, seconds: float) -> None:
         cloud.now += seconds
 
-    calls = CloudCalls(
-        cloud, engine, SureOwner(), cloud.rps, "r-n0", lambda: cloud.now, pause, lambda: None
-    )  # fmt: skip
-    return engine, calls
+    calls = CloudOperations(
+        cloud, scheduler, SureOwner(), cloud.rps, "r-n0", lambda: cloud.now, pause, lambda: None
+    )
+    return scheduler, calls
 
 
 def test_the_list_of_4000_machines_keeps_to_the_rate_and_leaves_room_for_rentals():
     """All pages at once were more than the cloud takes in a burst, so that the list was never read whole."""
     cloud = PacedCloud(rps=3.0, count=MACHINES)
-    engine, calls = owner_with_cloud(cloud, World().settings("n0"))
-    order = RentalOrder("small", "north", True, 50, "backlog")
+    scheduler, calls = leader_with_cloud(cloud, World().settings("n0"))
+    order = LaunchRequest("small", "north", True, 50, "backlog")
     lists = 0
     while cloud.now < 60.0:
         wait_s = calls.list_step()
         next_list = cloud.now + wait_s
         lists += 1
         while cloud.now < next_list:  # the thread beside it, which rents as fast as it may
-            calls.rent(order)
+            calls.launch(order)
             cloud.now += 0.05
     assert cloud.busy == 0
-    assert len([name for name in cloud.names if engine.state.machines_by.find(name) is not None]) == MACHINES
+    assert (
+        len([name for name in cloud.names if scheduler.state.machine_names.find(name) is not None])
+        == MACHINES
+    )
     assert lists >= 4, "each machine's fate is seen within a quarter of a minute"
     kinds = collections.Counter(kind for _, kind in cloud.calls)
-    assert kinds["list"] <= 1.1 * LIST_SHARE * OWNER_SHARE * cloud.rps * cloud.now
+    assert kinds["list"] <= 1.1 * LIST_SHARE * LEADER_SHARE * cloud.rps * cloud.now
     assert kinds["rent"] >= 60, "the rest of the rate is for the others"
 
 
 def test_more_rentals_than_the_queue_holds_do_not_hold_up_deletions():
     cloud = PacedCloud(rps=3.0, count=0)
-    engine, calls = owner_with_cloud(cloud, World().settings("n0"))
-    orders = [RentalOrder("small", "north", True, 50, "backlog")] * 400
-    for order in orders:
-        engine.autoscaler._asked_for(engine.autoscaler._option(order), order.count)
-    calls.carry_out(FleetStep(orders, [Deletion("vm-000001", "idle")]))
+    scheduler, calls = leader_with_cloud(cloud, World().settings("n0"))
+    commands = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
+    for order in commands:
+        scheduler.autoscaler._asked_for(scheduler.autoscaler._pool(order), order.count)
+    calls.carry_out(ScalingActions(commands, [Deletion("vm-000001", "idle")]))
     assert calls.delete(["vm-000001"])
-    waiting = sum(engine.state.renting.values())
+    waiting = sum(scheduler.state.launching.values())
     assert MACHINES <= waiting < 400 * 50, "what the queue did not take is decided anew"
 
 
-def test_a_relay_knows_late_copies_of_4000_machines_reports():
+def test_a_relay_knows_late_copies_of_4000_machines_heartbeats():
     cluster = World(nodes=2)
     relay = cluster.nodes["n1"].relay
-    reports = [cluster.machine().report() for _ in range(MACHINES + 500)]
-    assert not any(relay.stale(report) for report in reports)
-    assert all(relay.stale(report) for report in reports), "each of them was here before"
+    heartbeats = [cluster.machine().heartbeat() for _ in range(MACHINES + 500)]
+    assert not any(relay.stale(heartbeat) for heartbeat in heartbeats)
+    assert all(relay.stale(heartbeat) for heartbeat in heartbeats), "each of them was here before"
 
 
-def test_a_relay_of_4000_machines_keeps_to_the_rate_and_the_owner_hears_each():
+def test_a_relay_of_4000_machines_keeps_to_the_rate_and_the_leader_hears_each():
     """All values at once were refused, again and again, and the pause for so many exceeded a lease."""
     cluster = World(nodes=2, value_kb=4.0, writes=15.0)
     relaying = cluster.nodes["n1"]
     cluster.state.write_rps = 15.0
     cluster.pass_time(2.0)
     fleet = [cluster.machine() for _ in range(MACHINES)]
-    heard: dict[str, list[float]] = {worker.name: [] for worker in fleet}
+    last_heartbeat_at: dict[str, list[float]] = {worker.name: [] for worker in fleet}
     seen: dict[str, int] = {}
     rng = random.Random(1)
     for _ in range(60):
@@ -212,22 +217,23 @@
             # Its two tasks are others each time.
             parts = [f"req-{rng.randrange(200):06d}/{rng.randrange(2000)}" for _ in range(2)]
             worker.tasks = {
-                (part, n): Attempt(part, rng.randrange(10**5), "running") for n, part in enumerate(parts)
+                (task_id, n): Attempt(task_id, rng.randrange(10**5), "running")
+                for n, task_id in enumerate(parts)
             }
-            relaying.relay.note(worker.report())
+            relaying.relay.note(worker.heartbeat())
         fleet = fleet[1:] + fleet[:1]
         cluster.try_(relaying._publish)
-        for key, (value, stamp, _) in cluster.state.rows.items():
-            if key.startswith(records.RELAYS) and seen.get(key) != stamp:
-                seen[key] = stamp
-                for report in reports_in(Row(key, value, stamp), cluster.clock.wall())[1]:
-                    heard[report.machine].append(cluster.clock.now)
+        for key, (value, version, _) in cluster.state.rows.items():
+            if key.startswith(records.RELAYS) and seen.get(key) != version:
+                seen[key] = version
+                for heartbeat in heartbeats_in(Row(key, value, version), cluster.clock.wall())[1]:
+                    last_heartbeat_at[heartbeat.machine].append(cluster.clock.now)
     assert cluster.state.too_many == 0
     assert len(seen) > 2 * cluster.state.write_rps, "more values than may be written in two seconds"
     ends = cluster.clock.now
     gaps = [
         max(later - before for before, later in itertools.pairwise([*times, ends]))
-        for times in heard.values()
+        for times in last_heartbeat_at.values()
     ]
     assert max(gaps) <= LEASE_S
 
@@ -236,31 +242,29 @@
     cluster = World(value_kb=8.0)
     cluster.pause_s = 0.0005
     node = cluster.nodes["n0"]
-    engine = node.engine
-    machines = 3 * engine.policy.preempt_machines
+    scheduler = node.scheduler
+    machines = 3 * scheduler.policy.preempt_machines
     fleet = [cluster.machine(zone="north" if n % 2 else "south") for n in range(machines)]
     for _ in range(2):
         cluster.pass_time(0.5)
         for worker in fleet:
-            cluster.report(worker, "n0")
+            cluster.heartbeat(worker, "n0")
     cluster.submit("n0", cluster.job(1, crew="open", parts=machines * CPUS, guess_s=900.0, mem_gb=1.0))
-    node.mirror.pull(0.0)
-    engine.round()
-    assert len(engine.state.jobs["req-000001"].open) == machines * CPUS
-    cluster.submit(
-        "n0", cluster.job(2, crew="open", rank="urgent", parts=machines, cpus=4.0, mem_gb=1.0)
-    )  # fmt: skip
-    node.mirror.pull(0.0)
+    node.watch_cache.pull(0.0)
+    scheduler.round()
+    assert len(scheduler.state.jobs["req-000001"].open) == machines * CPUS
+    cluster.submit("n0", cluster.job(2, crew="open", rank="urgent", parts=machines, cpus=4.0, mem_gb=1.0))
+    node.watch_cache.pull(0.0)
     stops = []
     for _ in range(4):
         cluster.pass_time(1.0)
-        before = len(engine.state.halting)
-        engine.round()
-        stops.append(len(engine.state.halting) - before)
-    share = int(engine.policy.preempt_share * machines * CPUS)
-    assert share > engine.policy.preempt_per_round
+        before = len(scheduler.state.stopping)
+        scheduler.round()
+        stops.append(len(scheduler.state.stopping) - before)
+    share = int(scheduler.policy.preempt_share * machines * CPUS)
+    assert share > scheduler.policy.preempt_per_round
     assert all(share <= stopped < share + CPUS for stopped in stops)
-    stopped_on = {place.machine for place in engine.state.halting}
+    stopped_on = {placement.machine for placement in scheduler.state.stopping}
     parts = {index * 3 // machines for index in stopped_on}
     assert parts == {0, 1, 2}, "no part of the fleet is spared"
 
@@ -270,24 +274,32 @@
     most, clients = 8, 40
     cluster = World()
     cluster.step()
-    front = Front(cluster.nodes["n0"], Limit())
-    server = Server("127.0.0.1", 0, front.handle, most, "front")
+    front = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
+    server = HttpServer("127.0.0.1", 0, front.handle, most, "front")
     server.start()
     connections: dict[int, socket.socket] = {}
 
-    def body(number: int, tick: int) -> bytes:
+    def body(number: int, sequence: int) -> bytes:
         return orjson.dumps(
             {
-                "dock": f"vm-{number:06d}", "addr": "10.1.0.1:9000", "build": "small", "yard": "north",
-                "loaners": True, "shift": 1, "tick": tick, "baton": 0, "recall_s": None, "parts": [],
+                "dock": f"vm-{number:06d}",
+                "addr": "10.1.0.1:9000",
+                "build": "small",
+                "yard": "north",
+                "loaners": True,
+                "shift": 1,
+                "tick": sequence,
+                "baton": 0,
+                "recall_s": None,
+                "parts": [],
             }
-        )  # fmt: skip
+        )
 
-    def report(number: int, tick: int) -> bool:
-        """Whether the report of this worker is answered."""
+    def heartbeat(number: int, sequence: int) -> bool:
+        """Whether the heartbeat of this worker is answered."""
         sock = connections.get(number) or socket.create_connection(("127.0.0.1", server.port), timeout=5)
-        data = body(number, tick)
-        head = f"POST {workers.REPORT_PATH} HTTP/1.1\r\nContent-Length: {len(data)}\r\n\r\n"
+        data = body(number, sequence)
+        head = f"POST {workers.HEARTBEAT_PATH} HTTP/1.1\r\nContent-Length: {len(data)}\r\n\r\n"
         try:
             sock.sendall(head.encode() + data)
             answer = sock.recv(65536)
@@ -300,17 +312,19 @@
             connections[number] = sock
         return answer.startswith(b"HTTP/1.1 200")
 
-    def answered_soon(number: int, tick: int) -> bool:
+    def answered_soon(number: int, sequence: int) -> bool:
         """As workers do, it tries again where it was turned away: a connection that was closed counts until
         its thread has ended. Not for so long that the server would close idle connections of others."""
         for _ in range(TRIES):
-            if report(number, tick):
+            if heartbeat(number, sequence):
                 return True
             time.sleep(RETRY_S)
         return False
 
-    for tick in range(1, 4):
-        assert all(answered_soon(number, tick) for number in range(clients)), "each is answered in each turn"
+    for sequence in range(1, 4):
+        assert all(answered_soon(number, sequence) for number in range(clients)), (
+            "each is answered in each turn"
+        )
     assert 0 < len(connections) < most, "as many as may keep theirs do"
     for sock in connections.values():
         sock.close()
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -13,7 +13,7 @@
 
 
 def ordinary(machines: int = 3, **world_fields) -> World:
-    """A world with ordinary machines reporting."""
+    """A world with on-demand machines reporting."""
     w = World(1, **world_fields)
     for n in range(machines):
         w.machine("small", "north" if n % 2 else "south", spot=False)
@@ -33,16 +33,16 @@
     return {name: parts for name, parts in found.items() if parts}
 
 
-def test_a_service_is_pending_or_running_until_it_is_cancelled_whatever_its_replicas_report():
+def test_a_service_is_pending_or_running_until_it_is_cancelled_whatever_its_replicas_heartbeat():
     w = ordinary()
     assert w.submit("n0", w.daemon(1)) == 201
     assert w.query("n0", "req-000001") == "pending"
     steps(w, 3)
     for _ in range(40):
         assert w.query("n0", "req-000001") in ("pending", "running")
-        for part in running(w):
+        for task_id in running(w):
             for worker in w.workers.values():
-                worker.finish(part, "done")
+                worker.finish(task_id, "done")
         w.step(5.0)
     assert w.cancel("n0", "req-000001") == "aborted"
     steps(w, 4)
@@ -123,10 +123,10 @@
     w.submit("n0", w.daemon(1, parts=1))
     steps(w, 16)
     name = next(iter(where(w)))
-    engine = w.nodes["n0"].engine
+    scheduler = w.nodes["n0"].scheduler
     w.cut.add((name, "n0"))
     failed = Listed(name, "", "small", w.workers[name].zone, False, "failed", 60.0)
-    engine.on_list([failed], w.clock.now)
+    scheduler.on_list([failed], w.clock.now)
     w.fleet("n0")
     steps(w, 4)
     assert name in w.deleted and len(running(w)) == 1
@@ -140,9 +140,9 @@
     w.submit("n0", w.job(2, parts=1))
     for _ in range(240):
         for worker in w.workers.values():
-            for part in worker.running():
-                if part.startswith("req-000002"):
-                    worker.finish(part, "error")
+            for task_id in worker.running():
+                if task_id.startswith("req-000002"):
+                    worker.finish(task_id, "error")
         w.step()
     w.cancel("n0", "req-000002")
     steps(w, 40)
@@ -191,7 +191,7 @@
     w.submit("n0", w.daemon(1, crew="red", parts=4, cpus=2.0))
     steps(w, 4)
     before = where(w)
-    assert w.nodes["n0"].engine.state.shares[0].beyond
+    assert w.nodes["n0"].scheduler.state.quotas[0].exceeds_guarantee
     w.submit("n0", w.daemon(2, crew="blue", parts=3, cpus=2.0))
     steps(w, 30)
     assert where(w) == before
@@ -224,16 +224,16 @@
     w.submit("n0", w.daemon(1))
     if state == "in flight":
         node = w.nodes["n0"]
-        node.mirror.pull(0.0)
-        node.engine.round()
+        node.watch_cache.pull(0.0)
+        node.scheduler.round()
         node.commit_once()
     else:
         steps(w, 4)
     if state == "resting":
         for _ in range(4):
-            for part in running(w):
+            for task_id in running(w):
                 for worker in w.workers.values():
-                    worker.finish(part, "error")
+                    worker.finish(task_id, "error")
             w.step()
     if state == "silent":
         w.cut |= {(name, "n0") for name in where(w)}
@@ -241,10 +241,10 @@
     for _ in range(100):
         w.step()  # checks `cancel_s`
         w.fleet("n0")
-    assert running(w) == [] and not w.nodes["n0"].engine.state.jobs
+    assert running(w) == [] and not w.nodes["n0"].scheduler.state.jobs
 
 
-def test_a_takeover_keeps_what_runs_and_starts_what_is_missing():
+def test_a_failover_keeps_what_runs_and_starts_what_is_missing():
     w = World(3)
     for _ in range(3):
         w.machine("small", "north", spot=False)
@@ -253,28 +253,28 @@
     steps(w, 4)
     before = where(w)
     w.workers[next(iter(before))].finish("req-000001/0", "error")
-    del w.nodes[w.owner()]
+    del w.nodes[w.leader()]
     steps(w, 14)
     after = where(w)
     assert sorted(p for parts in after.values() for p in parts) == [f"req-000001/{n}" for n in range(3)]
 
 
-def test_a_replica_that_ends_for_ever_grows_neither_the_ledger_nor_the_memory():
+def test_a_replica_that_ends_for_ever_grows_neither_the_task_log_nor_the_memory():
     w = ordinary(2, value_kb=1.0)
     w.submit("n0", w.daemon(1))
-    engine = w.nodes["n0"].engine
+    scheduler = w.nodes["n0"].scheduler
     rows = []
     for n in range(600):
         for worker in w.workers.values():
-            for part in worker.running():
-                worker.finish(part, "halted" if n % 2 else "error")
+            for task_id in worker.running():
+                worker.finish(task_id, "halted" if n % 2 else "error")
         w.step(2.0)
         rows.append(sum(key.startswith(records.LOG) for key in w.state.rows))
     assert max(rows[300:]) <= max(rows[:300]) <= 60
-    job = engine.state.jobs["req-000001"]
-    progress = w.nodes["n0"].mirror.with_ledger(lambda ledger: ledger.jobs["req-000001"])
-    assert len(job.failed_on) <= 8 and len(job.ends) <= 2 and len(progress.told) <= 2
-    assert len(engine.state.standing_jobs) <= 1
+    job = scheduler.state.jobs["req-000001"]
+    progress = w.nodes["n0"].watch_cache.with_task_log(lambda task_log: task_log.jobs["req-000001"])
+    assert len(job.failed_on) <= 8 and len(job.consecutive_exits) <= 2 and len(progress.told) <= 2
+    assert len(scheduler.state.recent_services) <= 1
     for worker in w.workers.values():
         worker.fails = False
     steps(w, 80)
@@ -284,14 +284,14 @@
     assert len(running(w)) == 2 and not log, "what runs and does not change is not written again"
 
 
-def test_room_is_rented_for_services_before_they_come_and_kept_while_they_stand():
+def test_room_is_launched_for_services_before_they_come_and_kept_while_they_stand():
     w = ordinary(0)
-    engine = w.nodes["n0"].engine
-    engine.state.standing_classes = {"desk"}  # as the aims of a site with services name them
+    scheduler = w.nodes["n0"].scheduler
+    scheduler.state.service_classes = {"desk"}  # as the aims of a site with services name them
     w.fleet("n0")
     assert {(x.kind.name, x.spot) for x in w.workers.values()} == {("small", False)}
     floor = len(w.workers)
-    assert floor * 4.0 >= engine.policy.standing_floor
+    assert floor * 4.0 >= scheduler.policy.service_floor
     steps(w, 3)
     w.submit("n0", w.job(1, parts=30, crew="blue", loaners=True))
     steps(w, 4)
@@ -308,15 +308,15 @@
         w.fleet("n0")
     assert sum(not x.spot for x in w.workers.values()) >= floor, "empty machines of the reserve stay"
     w.cancel("n0", "req-000002")
-    engine.state.standing_classes = set()
+    scheduler.state.service_classes = set()
     for _ in range(200):
         w.step(1.0)
         w.fleet("n0")
     assert not w.workers, "and goes when nothing stands any more"
 
 
-def test_machines_are_rented_in_the_zone_that_is_open_to_what_waits():
-    """Found by the random story: the last replica had to be apart, and 70 machines were rented beside the
+def test_machines_are_launched_in_the_zone_that_is_open_to_what_waits():
+    """Found by the random story: the last replica had to be apart, and 70 machines were launched beside the
     others."""
     w = ordinary(0)
     w.machine("small", "north", spot=False)
@@ -336,30 +336,32 @@
 
 def test_what_stands_is_held_by_so_many_machines_of_each_kind():
     w = quiet()
-    types = w.nodes["n0"].engine.types
-    small, cards = scaling.Option(0, 0, False), scaling.Option(1, 0, False)
+    types = w.nodes["n0"].scheduler.types
+    small, cards = scaling.MachinePool(0, 0, False), scaling.MachinePool(1, 0, False)
     group = scaling.Group(frozenset({small, cards}), {0: 6.0, 1: 3.0})
-    none: frozenset[scaling.Option] = frozenset()
-    assert [(r.option, r.count) for r in scaling.for_services([group], types, {}, none)] == [(small, 6)]
-    got = scaling.for_services([group], types, {small: 3}, none)
-    assert [(r.option, r.count) for r in got] == [(small, 3)]
-    got = scaling.for_services([group], types, {small: 3}, frozenset({small}))
-    assert [(r.option, r.count) for r in got] == [(cards, 2)], "another kind where the first is refused"
-    assert scaling.for_services([group], types, {small: 3, cards: 2}, none) == []
+    none: frozenset[scaling.MachinePool] = frozenset()
+    assert [(r.pool, r.count) for r in scaling.plan_service_launches([group], types, {}, none)] == [
+        (small, 6)
+    ]
+    got = scaling.plan_service_launches([group], types, {small: 3}, none)
+    assert [(r.pool, r.count) for r in got] == [(small, 3)]
+    got = scaling.plan_service_launches([group], types, {small: 3}, frozenset({small}))
+    assert [(r.pool, r.count) for r in got] == [(cards, 2)], "another kind where the first is refused"
+    assert scaling.plan_service_launches([group], types, {small: 3, cards: 2}, none) == []
 
 
 def test_a_replica_goes_where_its_image_is_but_not_beside_another_of_its_job():
     w = quiet()
     node = w.nodes["n0"]
     w.submit("n0", w.daemon(1))
-    node.mirror.pull(0.0)
-    job = node.engine.state.jobs["req-000001"]
+    node.watch_cache.pull(0.0)
+    job = node.scheduler.state.jobs["req-000001"]
     has = Machine(0, "has", images={job.image: True}, free_cpus=4.0)
     busy = Machine(1, "busy", images={99: False}, free_cpus=4.0)
     free = Machine(2, "free", free_cpus=4.0)
     order = sorted([free, busy, has], key=lambda m: placement_rules.replica_rank(job, m, {}, 4.0, 6.0))
     assert [m.name for m in order] == ["has", "free", "busy"]
-    has.heard = 100.0
+    has.last_heartbeat_at = 100.0
     assert placement_rules.steady(has, 101.0, 5.0) and not placement_rules.steady(has, 106.0, 5.0), (
         "not if silent"
     )
@@ -390,7 +392,7 @@
     w.submit("n0", w.daemon(6, crew="blue", parts=1, cpus=4.0, builds=["small"]))
     steps(w, 30)
     assert list(where(w)) != [here] and list(where(w, "req-000006")) == [here]
-    assert w.nodes["n0"].engine.state.moves == 1
+    assert w.nodes["n0"].scheduler.state.moves == 1
 
 
 def test_the_readme_s_daemon_can_be_submitted_looked_at_and_called_off():
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Load spread: the pure decisions over random fleets, and the owner's moves in the simulated cluster."""
+"""Load spread: the pure decisions over random fleets, and the leader's moves in the simulated cluster."""
 
 import dataclasses
 import random
@@ -34,7 +34,7 @@
     chooser = Chooser(job, fleet, average, weights, lambda machine: FETCH_S)
     out = []
     while len(out) < count and (choice := chooser.next()) is not None:
-        choice.machine.take(job.spec)
+        choice.machine.reserve(job.spec)
         choice.machine.images.setdefault(job.image, False)
         out.append(choice.machine)
         chooser.placed(choice)
@@ -44,10 +44,18 @@
 def idle_machines(count: int) -> list[Machine]:
     return [
         Machine(
-            n, f"vm-{n}", type=0, zone=n % 2, spot=True, cpus=CPUS, echoed=True, free_cpus=CPUS, free_mem=64.0
+            n,
+            f"vm-{n}",
+            type=0,
+            zone=n % 2,
+            spot=True,
+            cpus=CPUS,
+            token_acknowledged=True,
+            free_cpus=CPUS,
+            free_mem=64.0,
         )
         for n in range(count)
-    ]  # fmt: skip
+    ]
 
 
 @given(st.lists(machines, min_size=1, max_size=30), jobs, st.integers(1, 20))
@@ -109,9 +117,9 @@
 def test_the_machine_of_an_image_changes_only_with_the_machine(numbers, image):
     names = [f"vm-{n}" for n in sorted(numbers)]
     best = max(names, key=lambda name: rendezvous(image, name))
-    for gone in names:
-        if gone != best:
-            left = [name for name in names if name != gone]
+    for deleted_machines in names:
+        if deleted_machines != best:
+            left = [name for name in names if name != deleted_machines]
             assert max(left, key=lambda name: rendezvous(image, name)) == best
 
 
@@ -242,11 +250,11 @@
     assert task > 10 and records.size(budget.encode("req-1")) <= 384
 
 
-# -- the owner's moves
+# -- the leader's moves
 
 
 def uneven(tasks: int = 4, nodes: int = 1, **job) -> World:
-    """Four machines of which the first has all the work, and an owner that spreads load."""
+    """Four machines of which the first has all the work, and a leader that spreads load."""
     cluster = quiet(machines=4, nodes=nodes, policy=PACKED)
     fields = {"crew": "open", "parts": tasks, "bookmark_s": 5.0, "stash_s": 1.0, "guess_s": 900.0} | job
     cluster.submit("n0", cluster.job(1, **fields))
@@ -254,7 +262,7 @@
     assert sorted(len(w.running()) for w in cluster.workers.values()) == [0, 0, 0, tasks]
     cluster.policy = SPREAD
     for node in cluster.nodes.values():
-        node.engine.state.policy = SPREAD
+        node.scheduler.state.policy = SPREAD
     return cluster
 
 
@@ -263,7 +271,7 @@
 
 
 def restarts(cluster: World) -> dict[str, int]:
-    return {part: len(workers) - 1 for part, workers in cluster.starters.items()}
+    return {task_id: len(workers) - 1 for task_id, workers in cluster.starters.items()}
 
 
 def test_running_work_leaves_an_overloaded_machine_and_each_task_moves_once():
@@ -272,7 +280,7 @@
     assert loads(cluster)[-1] <= 2, "at most twice the average"
     assert len(running(cluster)) == 4
     assert max(restarts(cluster).values()) == 1 and sum(restarts(cluster).values()) <= 3
-    stored = cluster.state.rows[records.moves_key("req-000001")][0]
+    stored = cluster.state.rows[records.migration_counts_key("req-000001")][0]
     assert sum(count for _, count in stored["t"]) == sum(restarts(cluster).values())
 
 
@@ -292,7 +300,7 @@
 
 def test_a_class_that_allows_the_loss_is_moved():
     cluster = uneven(bookmark_s=0.0, guess_s=9000.0)
-    cluster.nodes["n0"].engine.state.policy = dataclasses.replace(SPREAD, spread_lossy=("sweep",))
+    cluster.nodes["n0"].scheduler.state.policy = dataclasses.replace(SPREAD, spread_lossy=("sweep",))
     wait(cluster, 60.0, fleet=False)
     assert loads(cluster)[-1] <= 2
 
@@ -305,79 +313,82 @@
     assert loads(cluster) == [0, 0, 0, 4]
 
 
-def test_owners_that_follow_one_another_restart_no_task_more_often_than_allowed(caplog):
+def test_leaders_that_follow_one_another_restart_no_task_more_often_than_allowed(caplog):
     cluster = uneven(nodes=3)
     with caplog.at_level("INFO", logger="bayford.spread"):
         for _ in range(8):
             wait(cluster, 40.0, fleet=False)
-            cluster.boot(cluster.owner() or "n0")
+            cluster.boot(cluster.leader() or "n0")
             wait(cluster, 8.0, fleet=False)
             # What runs elsewhere is lost and comes together on one machine again: always work to move.
-            engine = cluster.nodes[cluster.owner() or "n0"].engine
-            engine.state.policy = PACKED
+            scheduler = cluster.nodes[cluster.leader() or "n0"].scheduler
+            scheduler.state.policy = PACKED
             first, *others = sorted(cluster.workers.values(), key=lambda worker: -len(worker.running()))
             for worker in others:
                 worker.tasks.clear()
-                worker.session += 1
+                worker.epoch += 1
             wait(cluster, 4.0, fleet=False)
-            engine.state.policy = SPREAD
+            scheduler.state.policy = SPREAD
     moved = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("moving ")]
     assert moved and len(set(moved)) == len(moved), "each task once, whoever the owner is"
 
 
 def moving(cluster: World) -> Placement:
     """Until a move has been decided, and nothing of it is written yet; the task that it concerns."""
-    engine = cluster.nodes["n0"].engine
+    scheduler = cluster.nodes["n0"].scheduler
     for _ in range(120):
         cluster.pass_time(0.5)
         for worker in cluster.workers.values():
-            cluster.report(worker, "n0")
-        engine.round()
-        if engine.state.uncounted:
-            return engine.state.uncounted["req-000001"][0].place
+            cluster.heartbeat(worker, "n0")
+        scheduler.round()
+        if scheduler.state.uncounted_migrations:
+            return scheduler.state.uncounted_migrations["req-000001"][0].placement
     pytest.fail("nothing is moved")
 
 
 @pytest.mark.parametrize("counted", [False, True])
 @pytest.mark.parametrize("trouble", ["done", "cancelled", "target", "owner"])
 def test_a_move_that_is_overtaken(trouble, counted):
-    """Its task ends by itself, is cancelled, its target vanishes, or the owner ends, before or after the move
-    is durable and the task told to stop."""
+    """Its task ends by itself, is cancelled, its target vanishes, or the leader ends, before or after the
+    move is durable and the task told to stop."""
     cluster = uneven()
-    place = moving(cluster)
+    placement = moving(cluster)
     node = cluster.nodes["n0"]
-    target = node.engine.state.uncounted["req-000001"][0].target
+    target = node.scheduler.state.uncounted_migrations["req-000001"][0].target
     if counted:
         node.commit_once()
-        assert place.halting and node.engine.state.moves >= 1
+        assert placement.stopping and node.scheduler.state.moves >= 1
     if trouble == "done":
-        cluster.finish(place.part)
+        cluster.finish(placement.task_id)
         for worker in cluster.workers.values():
-            cluster.report(worker, "n0")
+            cluster.heartbeat(worker, "n0")
     elif trouble == "cancelled":
         assert cluster.cancel("n0", "req-000001") == "aborted"
     elif trouble == "target":
-        cluster.execute_delete([node.engine.state.machines_by[target]])
-        node.engine.deleted([node.engine.state.machines_by[target]])
+        cluster.execute_delete([node.scheduler.state.machine_names[target]])
+        node.scheduler.deleted([node.scheduler.state.machine_names[target]])
     else:
         cluster.boot("n0")
     if trouble != "owner" and not counted:
-        before = node.engine.state.moves, set(node.engine.state.halting)
-        node.mirror.pull(0.0)
+        before = node.scheduler.state.moves, set(node.scheduler.state.stopping)
+        node.watch_cache.pull(0.0)
         node.commit_once()
-        assert (node.engine.state.moves, set(node.engine.state.halting) - {place}) == (0, before[1] - {place})
-        assert place.halt_grace == 0.0
+        assert (node.scheduler.state.moves, set(node.scheduler.state.stopping) - {placement}) == (
+            0,
+            before[1] - {placement},
+        )
+        assert placement.stop_grace_s == 0.0
     wait(cluster, 60.0)
-    assert not cluster.nodes["n0"].engine.state.halting
+    assert not cluster.nodes["n0"].scheduler.state.stopping
     if trouble == "cancelled":
         assert running(cluster) == []
         return
     left = {f"req-000001/{n}" for n in range(4)} - cluster.done_tasks
     assert set(running(cluster)) == left and len(running(cluster)) == len(left)
-    assert restarts(cluster)[place.part] <= 1
+    assert restarts(cluster)[placement.task_id] <= 1
     if trouble == "done":
-        for part in left:
-            cluster.finish(part)
+        for task_id in left:
+            cluster.finish(task_id)
         wait(cluster, 10.0, fleet=False)
         assert cluster.query("n0", "req-000001") == "done"
 
@@ -386,26 +397,26 @@
     cluster = uneven()
     cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
     wait(cluster, 40.0, fleet=False)
-    assert cluster.nodes["n0"].engine.state.moves == 0
-    assert cluster.nodes["n0"].engine.state.jobs["req-000002"].waiting == [0]
+    assert cluster.nodes["n0"].scheduler.state.moves == 0
+    assert cluster.nodes["n0"].scheduler.state.jobs["req-000002"].waiting == [0]
 
 
 def test_room_that_is_meant_for_moved_work_is_kept_and_for_one_job_alone():
     """Of two jobs whose room was each other's, the second found its own taken and came back."""
     cluster = uneven(tasks=2)
-    engine = cluster.nodes["n0"].engine
-    engine.state.policy = PACKED
+    scheduler = cluster.nodes["n0"].scheduler
+    scheduler.state.policy = PACKED
     cluster.submit("n0", cluster.job(2, crew="open", bookmark_s=5.0, stash_s=1.0, guess_s=900.0))
     wait(cluster, 4.0, fleet=False)
-    engine.state.policy = SPREAD
-    source = max(engine.state.machines.values(), key=lambda machine: len(machine.open))
-    target = next(machine for machine in engine.state.machines.values() if not machine.open)
+    scheduler.state.policy = SPREAD
+    source = max(scheduler.state.machines.values(), key=lambda machine: len(machine.open))
+    target = next(machine for machine in scheduler.state.machines.values() if not machine.open)
     keys = [next(k for k, p in source.open.items() if p.job.spec.id == f"req-00000{n}") for n in (1, 2)]
     moves = tuple(Relocation(key, source.index, target.index) for key in keys)
     known = {m.index: picture(m, cluster.clock.now) for m in (source, target)}
-    engine.scheduling.spreader._carry_out(Rebalancing(moves, 1.0, 0.5), known, cluster.clock.now)
-    assert list(engine.state.uncounted) == ["req-000001"]
-    first, second = engine.state.jobs["req-000001"], engine.state.jobs["req-000002"]
+    scheduler.scheduling.spreader._carry_out(Rebalancing(moves, 1.0, 0.5), known, cluster.clock.now)
+    assert list(scheduler.state.uncounted_migrations) == ["req-000001"]
+    first, second = scheduler.state.jobs["req-000001"], scheduler.state.jobs["req-000002"]
     assert placement_rules.eligible(first, target, {}, cluster.clock.now)
     assert not placement_rules.eligible(second, target, {}, cluster.clock.now)
 
@@ -422,23 +433,27 @@
     cluster = uneven()
     moving(cluster)
     wait(cluster, 10.0, fleet=False)
-    assert records.moves_key("req-000001") in cluster.state.rows
+    assert records.migration_counts_key("req-000001") in cluster.state.rows
     cluster.cancel("n0", "req-000001")
     wait(cluster, 5.0, fleet=False)
     cluster.submit("n0", cluster.job(2, crew="open"))  # something to write them off with
     wait(cluster, 5.0, fleet=False)
-    assert records.moves_key("req-000001") not in cluster.state.rows
+    assert records.migration_counts_key("req-000001") not in cluster.state.rows
 
 
 @pytest.mark.parametrize("looks", ["noticed", "silent", "deaf", "refusing", "relayed", "giving back"])
 def test_a_machine_that_only_looks_idle_takes_no_moved_work(looks):
     machine = idle_machines(1)[0]
-    machine.reported, machine.heard = True, 100.0
+    machine.registered, machine.last_heartbeat_at = True, 100.0
     assert picture(machine, 101.0).accepts(5.0)
     change = {
-        "noticed": {"notice": 130.0}, "silent": {"heard": 90.0}, "deaf": {"echoed": False},
-        "refusing": {"full_until": 102.0}, "relayed": {"relay": "n2"}, "giving back": {"deleting": True},
-    }[looks]  # fmt: skip
+        "noticed": {"reclaim_at": 130.0},
+        "silent": {"last_heartbeat_at": 90.0},
+        "deaf": {"token_acknowledged": False},
+        "refusing": {"backoff_until": 102.0},
+        "relayed": {"relay": "n2"},
+        "giving back": {"deleting": True},
+    }[looks]
     for name, value in change.items():
         setattr(machine, name, value)
     assert not picture(machine, 101.0).accepts(5.0)
@@ -447,28 +462,28 @@
 def test_a_hint_counts_although_the_image_is_on_many_machines():
     """The pass over machines with the image took the hint and dropped it: the task came straight back."""
     cluster = quiet(machines=4, policy=PACKED)
-    engine = cluster.nodes["n0"].engine
+    scheduler = cluster.nodes["n0"].scheduler
     cluster.submit("n0", cluster.job(1, crew="open", parts=1))
-    cluster.nodes["n0"].mirror.pull(0.0)
-    job = engine.state.jobs["req-000001"]
-    holder, target = sorted(engine.state.machines)[:2]
-    engine.state.machines[holder].images[job.image] = True
-    engine.state.room.holds(engine.state.machines[holder], job.image)
+    cluster.nodes["n0"].watch_cache.pull(0.0)
+    job = scheduler.state.jobs["req-000001"]
+    holder, target = sorted(scheduler.state.machines)[:2]
+    scheduler.state.machines[holder].images[job.image] = True
+    scheduler.state.capacity_index.holds(scheduler.state.machines[holder], job.image)
     job.hints[0] = target
-    engine.round()
+    scheduler.round()
     assert job.open[0].machine == target
 
 
-def test_a_late_report_is_no_reason_to_move_work_there():
+def test_a_late_heartbeat_is_no_reason_to_move_work_there():
     cluster = uneven()
     for worker in list(cluster.workers.values()):
         worker.mute = not worker.running()  # the idle ones fall silent
     for _ in range(8):
         cluster.pass_time(1.0)
         for worker in cluster.workers.values():
-            cluster.report(worker, "n0")
+            cluster.heartbeat(worker, "n0")
         cluster.step_node("n0")
-    assert cluster.nodes["n0"].engine.state.moves == 0
+    assert cluster.nodes["n0"].scheduler.state.moves == 0
 
 
 def test_a_machine_whose_type_the_catalog_lacks_takes_no_part_and_is_named_once(caplog):
