--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -6,22 +6,22 @@
 
 from bayford.clock import NEVER
 from bayford.coordination.controller import Controller
-from bayford.coordination.leader.autoscaler import RentalOrder
-from bayford.coordination.leader.leader_state import OwnerState
+from bayford.coordination.leader.autoscaler import LaunchRequest
+from bayford.coordination.leader.leader_state import LeaderState
 from bayford.protocol.cloud_api import NoCapacityError
 from bayford.storage import records
-from bayford.storage.counting_store import CountedStore
+from bayford.storage.counting_store import CountingStore
 from bayford.storage.key_value_store import UnavailableError
 
 
 def quiet(machines: int = 2, nodes: int = 1, **world_fields) -> World:
-    """A world with some machines reporting and an owner."""
+    """A world with some machines reporting and a leader."""
     w = World(nodes, **world_fields)
     for _ in range(machines):
         w.machine()
     for _ in range(3):
         w.step()
-    assert w.owner() is not None
+    assert w.leader() is not None
     return w
 
 
@@ -29,26 +29,26 @@
     return sorted(p for worker in w.workers.values() for p in worker.running())
 
 
-def ledger_rows(w: World) -> dict:
+def task_log_rows(w: World) -> dict:
     return {k: v for k, v in w.state.rows.items() if k.startswith(records.LOG)}
 
 
-def decided(w: World, owner: str = "n0", **fields) -> Controller:
-    """The owner, which has decided where the tasks of a first job go and written nothing of it yet."""
-    w.submit(owner, w.job(1, **fields))
-    node = w.nodes[owner]
-    node.mirror.pull(0.0)
-    node.engine.round()
+def decided(w: World, leader: str = "n0", **fields) -> Controller:
+    """The leader, which has decided where the tasks of a first job go and written nothing of it yet."""
+    w.submit(leader, w.job(1, **fields))
+    node = w.nodes[leader]
+    node.watch_cache.pull(0.0)
+    node.scheduler.round()
     return node
 
 
 def deposed_with_work() -> tuple[World, str, str]:
-    """A world, its old owner that has decided something but not written it, and the new owner."""
+    """A world, its old leader that has decided something but not written it, and the new leader."""
     w = quiet(nodes=2)
-    old_name = w.owner()
+    old_name = w.leader()
     decided(w, old_name, parts=4)
     other = next(n for n in w.nodes if n != old_name)
-    assert w.nodes[other].membership.claim(other)
+    assert w.nodes[other].membership.acquire_leadership(other)
     return w, old_name, other
 
 
@@ -92,11 +92,11 @@
     assert w.nodes["n0"].submit(w.job(1, cpus=3.0, shape="gang", parts=3))[0] == 422, "8 at most"
     assert w.nodes["n0"].submit(w.job(1, cards=1.0, shape="gang", parts=3, crew="blue"))[0] == 422
     assert w.nodes["n0"].submit(w.job(1, yard="south", cards=1.0, crew="blue"))[0] == 422
-    w.nodes["n0"].engine.state.types = []
+    w.nodes["n0"].scheduler.state.types = []
     assert w.nodes["n0"].submit(w.job(2))[0] == 503, "machine types unknown: can't decide"
-    w.nodes["n0"].engine.set_types(w.catalog())
+    w.nodes["n0"].scheduler.set_types(w.catalog())
     assert w.submit("n0", w.job(3)) == 201
-    w.nodes["n0"].engine.state.types = []
+    w.nodes["n0"].scheduler.state.types = []
     assert w.submit("n0", w.job(3)) == 200, "a known job is never refused again"
 
 
@@ -131,7 +131,7 @@
     decided(w)
     w.state.refuses.add("n0")
     for worker in w.workers.values():
-        w.report(worker)
+        w.heartbeat(worker)
     assert running(w) == []
     w.state.refuses.clear()
     w.step()
@@ -142,7 +142,7 @@
     w = quiet()
     node = decided(w)
     w.state.lose_answer.add("n0")
-    assert not w.try_(node.commit_once) or node.engine.has_news()
+    assert not w.try_(node.commit_once) or node.scheduler.has_pending_writes()
     for _ in range(3):
         w.step()
     assert len(running(w)) == 2
@@ -169,70 +169,70 @@
     assert w.query("n0", "req-000001") == "done"
 
 
-def test_a_takeover_continues_with_starts_in_flight():
+def test_a_failover_continues_with_starts_in_flight():
     w = quiet(nodes=2)
-    owner = w.owner()
+    leader = w.leader()
     w.submit("n1", w.job(1))
-    w.nodes[owner].mirror.pull(0.0)
-    w.nodes[owner].engine.round()
-    w.nodes[owner].commit_once()  # placed and committed, not started
-    before = w.nodes[owner].membership.view.token
-    del w.nodes[owner]
+    w.nodes[leader].watch_cache.pull(0.0)
+    w.nodes[leader].scheduler.round()
+    w.nodes[leader].commit_once()  # placed and committed, not started
+    before = w.nodes[leader].membership.record.fencing_token
+    del w.nodes[leader]
     for _ in range(12):
         w.step()
-    new = w.nodes[w.owner()]
-    assert new.membership.view.token > before
+    new = w.nodes[w.leader()]
+    assert new.membership.record.fencing_token > before
     assert running(w) == ["req-000001/0", "req-000001/1"]
 
 
-def test_a_deposed_owner_can_neither_write_nor_start():
+def test_a_deposed_leader_can_neither_write_nor_start():
     w, old_name, other = deposed_with_work()
     old = w.nodes[old_name]
     w.step_node(other)
     worker = next(iter(w.workers.values()))
-    w.report(worker, old_name)  # the old owner does not know yet
+    w.heartbeat(worker, old_name)  # the old leader does not know yet
     assert worker.running() == []
     old.commit_once()
-    assert not old.engine.owner, "its write failed on the map, so it has stepped down"
+    assert not old.scheduler.leader, "its write failed on the map, so it has stepped down"
     for _ in range(3):
         w.step()
     assert len(running(w)) == 4
 
 
-def test_a_late_answer_of_a_deposed_owner_is_dropped_by_its_token():
+def test_a_late_answer_of_a_deposed_leader_is_dropped_by_its_token():
     w = quiet(nodes=2)
-    old_name = w.owner()
+    old_name = w.leader()
     worker = next(iter(w.workers.values()))
-    sent, report = w.clock.now, worker.report()
-    late = w.nodes[old_name].report(report, NEVER)
+    sent, heartbeat = w.clock.now, worker.heartbeat()
+    late = w.nodes[old_name].heartbeat(heartbeat, NEVER)
     other = next(n for n in w.nodes if n != old_name)
-    assert w.nodes[other].membership.claim(other)
+    assert w.nodes[other].membership.acquire_leadership(other)
     w.step_node(other)
-    assert w.report(worker, other) == 200
-    assert worker.take(late, sent, report.session) == 0
+    assert w.heartbeat(worker, other) == 200
+    assert worker.take(late, sent, heartbeat.epoch) == 0
 
 
 def test_a_node_behind_the_token_of_a_worker_commands_nothing():
     w = quiet()
     worker = next(iter(w.workers.values()))
-    worker.token = 99
-    assert w.report(worker, "n0") == 503
+    worker.fencing_token = 99
+    assert w.heartbeat(worker, "n0") == 503
 
 
-def test_a_cancelled_job_is_stopped_and_stays_cancelled_across_a_takeover():
+def test_a_cancelled_job_is_stopped_and_stays_cancelled_across_a_failover():
     w = quiet(nodes=2)
-    owner = w.owner()
-    other = next(n for n in w.nodes if n != owner)
-    w.submit(owner, w.job(1))
+    leader = w.leader()
+    other = next(n for n in w.nodes if n != leader)
+    w.submit(leader, w.job(1))
     w.step()
     w.step()
     assert w.cancel(other, "req-000001") == "aborted"
-    del w.nodes[owner]
+    del w.nodes[leader]
     for _ in range(14):
         w.step()
     assert running(w) == []
     assert w.query(other, "req-000001") == "aborted"
-    assert w.nodes[other].engine.state.shares[0].used_cpus == 0
+    assert w.nodes[other].scheduler.state.quotas[0].used_cpus == 0
 
 
 def test_a_cancel_racing_the_last_task_has_one_outcome():
@@ -242,7 +242,7 @@
     w.step()
     w.finish("req-000001/0")
     for worker in w.workers.values():
-        w.report(worker)  # the engine knows the end, the store does not yet
+        w.heartbeat(worker)  # the scheduler knows the end, the store does not yet
     assert w.cancel("n0", "req-000001") == "aborted"
     w.step()
     w.step()
@@ -251,16 +251,16 @@
 
 def test_a_cancel_that_comes_while_done_is_being_written_has_the_last_word():
     w = quiet(nodes=2)
-    owner = w.owner()
-    node = w.nodes[owner]
-    other = next(n for n in w.nodes if n != owner)
-    w.submit(owner, w.job(1, parts=1))
+    leader = w.leader()
+    node = w.nodes[leader]
+    other = next(n for n in w.nodes if n != leader)
+    w.submit(leader, w.job(1, parts=1))
     for _ in range(3):
         w.step()
     w.finish("req-000001/0")
     for worker in w.workers.values():
-        w.report(worker, owner)
-    batch = node.engine.take_batch(12)
+        w.heartbeat(worker, leader)
+    batch = node.scheduler.take_batch(12)
     assert batch is not None and batch.over == ["req-000001"]
     assert w.cancel(other, "req-000001") == "aborted"
     node._write(batch)
@@ -279,26 +279,26 @@
     w.state.down = True
     for _ in range(3):
         w.step()
-    assert ("req-000001/0", "ended") in [(a.part, a.phase) for a in worker.tasks.values()]
+    assert ("req-000001/0", "ended") in [(a.task_id, a.phase) for a in worker.tasks.values()]
     w.state.down = False
     for _ in range(3):
         w.step()
-    assert [a.part for a in worker.tasks.values()] == ["req-000001/1"]
+    assert [a.task_id for a in worker.tasks.values()] == ["req-000001/1"]
 
 
-def test_a_cancelled_placement_is_closed_only_by_a_report_sent_after_the_cancel():
-    """A report that a cut held back may lack a task that has started since; it proves nothing."""
+def test_a_cancelled_placement_is_closed_only_by_a_heartbeat_sent_after_the_cancel():
+    """A heartbeat that a cut held back may lack a task that has started since; it proves nothing."""
     w = quiet(machines=1)
     worker = next(iter(w.workers.values()))
     node = decided(w, parts=1)
     node.commit_once()
     w.cancel("n0", "req-000001")
-    node.mirror.pull(0.0)
-    node.engine.on_report(worker.report(), after=w.clock.now - 5.0)
-    assert node.engine.state.shares[0].used_cpus == 1.0
+    node.watch_cache.pull(0.0)
+    node.scheduler.on_heartbeat(worker.heartbeat(), after=w.clock.now - 5.0)
+    assert node.scheduler.state.quotas[0].used_cpus == 1.0
     w.pass_time(1.0)
-    node.engine.on_report(worker.report(), after=w.clock.now)
-    assert node.engine.state.shares[0].used_cpus == 0.0
+    node.scheduler.on_heartbeat(worker.heartbeat(), after=w.clock.now)
+    assert node.scheduler.state.quotas[0].used_cpus == 0.0
 
 
 def test_a_silent_machine_is_deleted_before_its_tasks_are_requeued():
@@ -340,7 +340,7 @@
     assert holder.name in w.deleted
 
 
-def test_a_later_session_proves_that_the_tasks_are_gone():
+def test_a_later_epoch_proves_that_the_tasks_are_gone():
     w = quiet(machines=1)
     w.submit("n0", w.job(1, parts=1))
     w.step()
@@ -349,73 +349,75 @@
     worker.answered = 0.0
     w.step()
     w.step()
-    assert worker.session == 2
+    assert worker.epoch == 2
     assert worker.running() == ["req-000001/0"]
 
 
-def test_an_old_report_changes_nothing():
+def test_an_old_heartbeat_changes_nothing():
     w = quiet(machines=1)
     worker = next(iter(w.workers.values()))
-    old = worker.report()
+    old = worker.heartbeat()
     w.submit("n0", w.job(1, parts=1))
     w.step()
     w.step()
     assert worker.running()
-    status, body, _ = w.nodes["n0"].report(old, NEVER)
+    status, body, _ = w.nodes["n0"].heartbeat(old, NEVER)
     assert status == 200 and b'"orders":[]' in body
-    assert w.nodes["n0"].engine.state.shares[0].used_cpus == 1.0
+    assert w.nodes["n0"].scheduler.state.quotas[0].used_cpus == 1.0
 
 
-def test_a_worker_that_lost_the_owner_is_relayed_at_once_a_new_one_when_it_comes_back():
+def test_a_worker_that_lost_the_leader_is_relayed_at_once_a_new_one_when_it_comes_back():
     w = quiet(machines=1, nodes=2)
-    owner = w.owner()
-    other = next(n for n in w.nodes if n != owner)
+    leader = w.leader()
+    other = next(n for n in w.nodes if n != leader)
     known = next(iter(w.workers.values()))
     fresh = w.machine()
-    w.cut |= {(known.name, owner), (fresh.name, owner)}
-    assert w.report(fresh, other) == 421, "never seen by anybody: the owner is the place to go"
+    w.cut |= {(known.name, leader), (fresh.name, leader)}
+    assert w.heartbeat(fresh, other) == 421, "never seen by anybody: the owner is the place to go"
     for _ in range(3):
         w.step(1.0)
-    assert w.report(fresh, other) == 200, "it came back: the owner is out of its reach"
-    assert w.report(known, other) == 200, "it has the owner's token, so it has just lost the owner"
+    assert w.heartbeat(fresh, other) == 200, "it came back: the owner is out of its reach"
+    assert w.heartbeat(known, other) == 200, "it has the owner's token, so it has just lost the owner"
     for _ in range(11):
         w.step(1.0)
-    assert w.report(known, other) == 421, "by and by it tries the owner again"
+    assert w.heartbeat(known, other) == 421, "by and by it tries the owner again"
 
 
 def test_a_relayed_worker_keeps_its_lease_and_gets_its_orders_from_the_records():
-    # A second worker, which the owner hears, keeps it from handing over to the relay.
+    # A second worker, which the leader hears, keeps it from handing over to the relay.
     w = quiet(machines=2, nodes=2)
-    owner = w.owner()
-    other = next(n for n in w.nodes if n != owner)
+    leader = w.leader()
+    other = next(n for n in w.nodes if n != leader)
     worker = next(iter(w.workers.values()))
-    w.cut.add((worker.name, owner))
-    w.submit(owner, w.job(1, parts=8))
+    w.cut.add((worker.name, leader))
+    w.submit(leader, w.job(1, parts=8))
     for _ in range(8):
         w.step(1.0)
-        w.report(worker, other)
+        w.heartbeat(worker, other)
     assert len(worker.running()) == 4
     w.finish(worker.running()[0])
     for _ in range(4):
         w.step(1.0)
-        w.report(worker, other)
-    assert w.nodes[owner].engine.state.jobs["req-000001"].done, "the owner has learned it through the store"
+        w.heartbeat(worker, other)
+    assert w.nodes[leader].scheduler.state.jobs["req-000001"].done, (
+        "the owner has learned it through the store"
+    )
     w.cancel(other, "req-000001")
     for _ in range(4):
         w.step(1.5)
-        w.report(worker, other)
+        w.heartbeat(worker, other)
     assert worker.running() == []
 
 
 def test_a_relay_that_the_state_does_not_serve_sends_workers_to_one_that_it_serves():
-    """It kept them, their reports went nowhere, and the owner deleted a sixth of the fleet as silent."""
+    """It kept them, their reports went nowhere, and the leader deleted a sixth of the fleet as silent."""
     w = quiet(machines=1, nodes=3)
-    owner = w.owner()
+    leader = w.leader()
     worker = next(iter(w.workers.values()))
-    w.submit(owner, w.job(1, parts=4, guess_s=500.0))
+    w.submit(leader, w.job(1, parts=4, guess_s=500.0))
     wait(w, 3.0, fleet=False)
-    lost, able = (n for n in w.nodes if n != owner)
-    w.cut.add((worker.name, owner))
+    lost, able = (n for n in w.nodes if n != leader)
+    w.cut.add((worker.name, leader))
     w.state.refuses.add(lost)
     worker.at = lost
     before = running(w)
@@ -424,7 +426,7 @@
     assert worker.at == able
 
 
-def test_during_an_outage_reports_are_answered_nothing_starts_and_it_ends_in_time():
+def test_during_an_outage_heartbeats_are_answered_nothing_starts_and_it_ends_in_time():
     w = quiet(machines=1)
     w.submit("n0", w.job(1, parts=1))
     w.step()
@@ -435,7 +437,7 @@
     statuses = []
     while w.clock.now - began < 40.0:
         w.pass_time(1.0)
-        statuses.append((w.clock.now - began, w.report(worker)))
+        statuses.append((w.clock.now - began, w.heartbeat(worker)))
     answered = [t for t, s in statuses if s == 200]
     assert answered and max(answered) > 15.0
     assert max(answered) + w.lease_s < w.cancel_s
@@ -453,8 +455,8 @@
     for _ in range(12):
         w.step()
     assert running(w) == before
-    for part in before:
-        w.finish(part)
+    for task_id in before:
+        w.finish(task_id)
     w.step()
     w.step()
     assert w.query("n2", "req-000001") == "done"
@@ -466,15 +468,15 @@
     for _ in range(8):
         w.step()
     assert len(running(w)) > 30
-    for part in running(w)[::2]:
-        w.finish(part)
+    for task_id in running(w)[::2]:
+        w.finish(task_id)
     for _ in range(4):
         w.step()
     assert max(w.state.sizes) <= 0.6 * 1024
     w.boot("n0")
     for _ in range(10):
         w.step()
-    job = w.nodes["n0"].engine.state.jobs["req-000001"]
+    job = w.nodes["n0"].scheduler.state.jobs["req-000001"]
     assert len(job.done) >= 15 and len(job.open) > 30
 
 
@@ -533,10 +535,10 @@
     for _ in range(20):
         w.step(1.0)
         w.fleet("n0")
-    job = w.nodes["n0"].engine.state.jobs["req-000001"]
+    job = w.nodes["n0"].scheduler.state.jobs["req-000001"]
     assert 3 <= job.errors <= 8
     assert job.not_before > w.clock.now
-    assert not any(m.quarantined for m in w.nodes["n0"].engine.state.machines.values())
+    assert not any(m.quarantined for m in w.nodes["n0"].scheduler.state.machines.values())
 
 
 def test_a_job_that_no_worker_knows_does_not_keep_room_from_others():
@@ -550,10 +552,10 @@
     for _ in range(60):
         wait(w, 1.0)
         tries += any(
-            a.part.startswith("req-000001") for worker in w.workers.values() for a in worker.tasks.values()
+            a.task_id.startswith("req-000001") for worker in w.workers.values() for a in worker.tasks.values()
         )
-        for part in running(w)[:1]:
-            w.finish(part)
+        for task_id in running(w)[:1]:
+            w.finish(task_id)
     assert w.query("n0", "req-000002") == "done"
     assert 2 <= tries <= 12, "it is tried, more and more seldom"
 
@@ -568,8 +570,8 @@
         worker.fails = True
         worker.finish(worker.running()[0], "error")
     wait(w, 4.0)
-    job = w.nodes["n0"].engine.state.jobs["req-000001"]
-    assert job.errors >= 3 and job.held_back == 0
+    job = w.nodes["n0"].scheduler.state.jobs["req-000001"]
+    assert job.errors >= 3 and job.backoff_count == 0
     for name in sick:
         if name in w.workers and w.workers[name].running():
             w.workers[name].finish(w.workers[name].running()[0], "error")
@@ -579,38 +581,38 @@
 
 def test_a_job_prefers_room_where_its_image_is_while_others_can_use_the_rest():
     w = quiet(machines=4)  # 16 CPUs
-    engine = w.nodes["n0"].engine
+    scheduler = w.nodes["n0"].scheduler
     w.submit("n0", w.job(1, crew="blue", parts=8, bundle="img-a", guess_s=10.0))
     wait(w, 1.0, fleet=False)
-    assert len({p.machine for p in engine.state.jobs["req-000001"].open.values()}) == 2
+    assert len({p.machine for p in scheduler.state.jobs["req-000001"].open.values()}) == 2
     w.submit("n0", w.job(2, crew="red", parts=8, bundle="img-b", guess_s=10.0))
     wait(w, 3.0, fleet=False)
     assert len(running(w)) == 16
     # Room comes back where img-a is. The smaller job would go first, but would have to fetch its image there.
     w.submit("n0", w.job(3, crew="blue", parts=4, bundle="img-b", guess_s=10.0))
     w.submit("n0", w.job(4, crew="blue", parts=8, bundle="img-a", guess_s=10.0))
-    engine.state.images_at = NEVER
-    for part in [p for p in running(w) if p.startswith("req-000001/")]:
-        w.finish(part)
+    scheduler.state.images_at = NEVER
+    for task_id in [p for p in running(w) if p.startswith("req-000001/")]:
+        w.finish(task_id)
     wait(w, 3.0, fleet=False)
-    assert len(engine.state.jobs["req-000004"].open) == 8 and not engine.state.jobs["req-000003"].open
-    for part in [p for p in running(w) if p.startswith("req-000002/")]:
-        w.finish(part)
+    assert len(scheduler.state.jobs["req-000004"].open) == 8 and not scheduler.state.jobs["req-000003"].open
+    for task_id in [p for p in running(w) if p.startswith("req-000002/")]:
+        w.finish(task_id)
     wait(w, 3.0, fleet=False)
-    assert len(engine.state.jobs["req-000003"].open) == 4
+    assert len(scheduler.state.jobs["req-000003"].open) == 4
 
 
-def test_the_picture_of_a_machines_images_forgets_those_used_longest_ago():
+def test_the_snapshot_of_a_machines_images_forgets_those_used_longest_ago():
     w = quiet(machines=1)
-    engine = w.nodes["n0"].engine
-    engine.state.types = [msgspec.structs.replace(kind, cache_gb=2.5) for kind in engine.types]
+    scheduler = w.nodes["n0"].scheduler
+    scheduler.state.types = [msgspec.structs.replace(kind, cache_gb=2.5) for kind in scheduler.types]
     for number, image in enumerate(["img-a", "img-b", "img-a", "img-c"], 1):
         w.submit("n0", w.job(number, parts=1, bundle=image, size_gb=1.0))
         wait(w, 2.0, fleet=False)
         w.finish(f"req-{number:06d}/0")
         wait(w, 1.0, fleet=False)
-    machine = next(iter(engine.state.machines.values()))
-    assert [engine.state.images[i] for i in machine.images] == ["img-a", "img-c"]
+    machine = next(iter(scheduler.state.machines.values()))
+    assert [scheduler.state.images[i] for i in machine.images] == ["img-a", "img-c"]
 
 
 def test_a_refusal_for_lack_of_room_tries_elsewhere():
@@ -621,10 +623,10 @@
     for _ in range(8):
         w.step()
     assert len(running(w)) == 4
-    assert w.nodes["n0"].engine.state.refusals > 0
+    assert w.nodes["n0"].scheduler.state.refusals > 0
 
 
-def test_machines_are_rented_for_waiting_work_and_idle_ones_return_empty():
+def test_machines_are_launched_for_waiting_work_and_idle_ones_return_empty():
     w = quiet(machines=0)
     w.submit("n0", w.job(1, parts=8))
     w.step()
@@ -634,8 +636,8 @@
         w.step()
     parts = running(w)
     assert len(parts) == 8
-    for part in parts:
-        w.finish(part)
+    for task_id in parts:
+        w.finish(task_id)
     for _ in range(200):
         w.step(1.0)
         w.fleet("n0")
@@ -663,7 +665,7 @@
     w.submit("n0", w.job(1, parts=1, guess_s=200.0))
     w.step()
     w.step()
-    worker.notice_s = 20.0
+    worker.reclaim_notice_s = 20.0
     w.capacity = 0
     for _ in range(4):
         w.step()
@@ -685,14 +687,14 @@
     rng = w.rng
     number = 0
     services = []
-    for turn in range(400):
+    for failover_delay_s in range(400):
         event = rng.random()
-        if upgrade and turn in (60, 110, 170):
-            w.old.discard(f"n{turn % 3}" if turn != 170 else sorted(w.old)[0])
+        if upgrade and failover_delay_s in (60, 110, 170):
+            w.old.discard(f"n{failover_delay_s % 3}" if failover_delay_s != 170 else sorted(w.old)[0])
             for name in w.nodes:
                 if name not in w.old and w.nodes[name].release == 1:
                     w.boot(name)
-        if upgrade and turn == 230:
+        if upgrade and failover_delay_s == 230:
             assert not w.old
             w.state.value_bytes, w.state.txn_ops = 460, 3
         names = list(w.nodes)
@@ -700,16 +702,22 @@
         if event < 0.10 and number < 30:
             number += 1
             body = w.job(
-                number, parts=rng.randint(1, 6), crew=rng.choice(["red", "blue"]),
-                rank=rng.choice(["idle", "normal", "urgent"]), together=rng.random() < 0.2,
+                number,
+                parts=rng.randint(1, 6),
+                crew=rng.choice(["red", "blue"]),
+                rank=rng.choice(["idle", "normal", "urgent"]),
+                together=rng.random() < 0.2,
                 loaners=rng.random() < 0.8,
-            )  # fmt: skip
+            )
             if upgrade and number % 3 == 0:
                 body = w.daemon(
-                    number, parts=rng.randint(1, 3), crew=rng.choice(["red", "blue"]),
-                    rank=rng.choice(["normal", "critical"]), loaners=rng.random() < 0.5,
+                    number,
+                    parts=rng.randint(1, 3),
+                    crew=rng.choice(["red", "blue"]),
+                    rank=rng.choice(["normal", "critical"]),
+                    loaners=rng.random() < 0.5,
                     apart=rng.random() < 0.2,
-                )  # fmt: skip
+                )
                 services.append(f"req-{number:06d}")
             w.submit(node, body)
         elif event < 0.14 and w.accepted:
@@ -739,7 +747,7 @@
         elif event < 0.70 and w.workers:
             worker = w.workers[rng.choice(sorted(w.workers))]
             worker.check_lease()
-            w.report(worker, node)
+            w.heartbeat(worker, node)
         elif event < 0.72 and w.workers:
             worker = w.workers[rng.choice(sorted(w.workers))]
             worker.deaf = not worker.deaf and rng.random() < 0.3
@@ -791,9 +799,9 @@
         w.step(1.0)
         for name in list(w.nodes):
             w.fleet(name)
-        for part in running(w):
-            if part.split("/")[0] not in services:
-                w.finish(part)
+        for task_id in running(w):
+            if task_id.split("/")[0] not in services:
+                w.finish(task_id)
     # A cancellation may have been executed although its user got no answer.
     stand = sorted(j for j in services if j in w.accepted and w.query("n0", j) != "aborted")
     for job_id in sorted(w.accepted - {*stand}):
@@ -819,8 +827,8 @@
     for _ in range(3):
         w.step()
     assert not any(p.startswith("req-000002") for p in running(w)), "two of four would fit"
-    for part in running(w):
-        w.finish(part)
+    for task_id in running(w):
+        w.finish(task_id)
     for _ in range(4):
         w.step()
     assert len(running(w)) == 4
@@ -865,7 +873,7 @@
     w.submit("n0", w.job(2, parts=1, cpus=2.0, yard="north", crew="red"))
     for _ in range(8):
         w.step()
-    assert w.nodes["n0"].engine.state.moves == 1, "one task moved, and no other for it"
+    assert w.nodes["n0"].scheduler.state.moves == 1, "one task moved, and no other for it"
     north, south = w.workers.values()
     assert "req-000002/0" in north.running()
     assert len(south.running()) == 1 and south.running()[0].startswith("req-000001/")
@@ -873,14 +881,14 @@
 
 def test_where_there_is_no_aim_the_longest_tasks_go_first():
     w = quiet(machines=1)
-    engine = w.nodes["n0"].engine
+    scheduler = w.nodes["n0"].scheduler
     for number, guess in enumerate([5.0, 90.0, 30.0], 1):
         w.submit("n0", w.job(number, parts=5, guess_s=guess))  # more than the guarantee, so borrowed
     wait(w, 2.0, fleet=False)
     assert {p.split("/")[0] for p in running(w)} == {"req-000002"}
-    engine.state.targets = {"sweep": 60.0}
-    for part in running(w):
-        w.finish(part)
+    scheduler.state.completion_targets_s = {"sweep": 60.0}
+    for task_id in running(w):
+        w.finish(task_id)
     wait(w, 2.0, fleet=False)
     assert {p.split("/")[0] for p in running(w)} == {"req-000001"}, (
         "with an aim the least work left goes first"
@@ -895,7 +903,7 @@
     # Together with the unfinished one the next job of blue is beyond 4 CPUs, though less work is left in it.
     w.submit("n0", w.job(2, crew="blue", parts=1, guess_s=1.0))
     w.submit("n0", w.job(3, crew="red", parts=4, guess_s=60.0))
-    assert w.nodes["n0"].engine.scheduling._entitled() == {"req-000001", "req-000003"}
+    assert w.nodes["n0"].scheduler.scheduling._within_guarantee() == {"req-000001", "req-000003"}
     w.finish("req-000001/0")
     wait(w, 2.0, fleet=False)
     assert "req-000003/0" in running(w) and "req-000002/0" not in running(w)
@@ -908,8 +916,8 @@
     assert len(running(w)) == 8
     w.submit("n0", w.job(2, parts=2, crew="blue", rank="urgent"))
     w.step_node("n0")
-    engine = w.nodes["n0"].engine
-    assert not engine.state.halting
+    scheduler = w.nodes["n0"].scheduler
+    assert not scheduler.state.stopping
     w.finish("req-000001/0")
     w.finish("req-000001/1")
     wait(w, 1.0, fleet=False)
@@ -929,7 +937,7 @@
     for _ in range(60):
         w.step(1.0)
         stopped += sum(
-            p.halting for m in w.nodes["n0"].engine.state.machines.values() for p in m.open.values()
+            p.stopping for m in w.nodes["n0"].scheduler.state.machines.values() for p in m.open.values()
         )
     assert stopped == 0
     assert len(running(w)) == 8
@@ -944,14 +952,14 @@
     w.step()
     w.submit("n0", w.job(2, parts=1, cpus=2.0, crew="blue", rank="urgent"))
     node = w.nodes["n0"]
-    node.mirror.pull(0.0)
-    node.engine.round()
+    node.watch_cache.pull(0.0)
+    node.scheduler.round()
     worker = next(iter(w.workers.values()))
     first, second = (
-        key for key, p in next(iter(node.engine.state.machines.values())).open.items() if p.halting
+        key for key, p in next(iter(node.scheduler.state.machines.values())).open.items() if p.stopping
     )
     worker.finish(first[0], "halted")
-    w.report(worker)
+    w.heartbeat(worker)
     w.step_node("n0")
     worker.finish(second[0], "halted")
     w.step()
@@ -959,22 +967,22 @@
     assert "req-000002/0" in worker.running()
 
 
-def test_a_new_owner_knows_the_images_from_the_summary_of_the_one_before():
+def test_a_new_leader_knows_the_images_from_the_summary_of_the_one_before():
     w = quiet(machines=30, nodes=2, value_kb=0.5)
-    owner = w.owner()
-    w.submit(owner, w.job(1, parts=1))
+    leader = w.leader()
+    w.submit(leader, w.job(1, parts=1))
     w.step()
     w.step()
     w.finish("req-000001/0")
     w.step()
-    have = [m.name for m in w.nodes[owner].engine.state.machines.values() if any(m.images.values())]
+    have = [m.name for m in w.nodes[leader].scheduler.state.machines.values() if any(m.images.values())]
     assert len(have) == 1
-    w.nodes[owner].summary_step()
+    w.nodes[leader].summary_step()
     assert max(w.state.sizes) <= 512
-    del w.nodes[owner]
+    del w.nodes[leader]
     for _ in range(12):
         w.step()
-    new = w.nodes[w.owner()].engine
+    new = w.nodes[w.leader()].scheduler
     assert [m.name for m in new.state.machines.values() if any(m.images.values())] == have
 
 
@@ -1011,12 +1019,12 @@
     def refused(store, conditions, puts):
         raise UnavailableError("429", refused=True)
 
-    monkeypatch.setattr(CountedStore, "commit", refused)  # that of every part
+    monkeypatch.setattr(CountingStore, "compare_and_swap", refused)  # that of every part
     node.writes.drain()
     for _ in range(4):
         w.pass_time(0.5)
         w.step_node("n0")
-    assert node.engine.has_news()
+    assert node.scheduler.has_pending_writes()
     for number in range(1, 6):
         assert w.query("n0", f"req-{number:06d}") is not None
     assert node.submit(w.job(9))[0] == 503, "answered at once, with when to come back"
@@ -1027,7 +1035,7 @@
     node = w.nodes["n0"]
     began = w.clock.now
     for _ in range(30):
-        node.cloud_calls.pace()
+        node.cloud_operations.pace()
     assert 30 / (w.clock.now - began) < 3.0 * 1.3
 
 
@@ -1047,7 +1055,7 @@
     assert node.query("req-000001")[0] == 503
     assert node.submit(w.job(1, parts=4))[0] == 503
     assert node.cancel("req-000001")[0] == 503
-    assert not node.engine.complete, "no owner starts anything before its view is whole"
+    assert not node.scheduler.complete, "no owner starts anything before its view is whole"
     assert any(record.levelname == "ERROR" and key in record.message for record in caplog.records)
     w.state.rows = whole
     w.boot("n0")
@@ -1056,33 +1064,35 @@
     assert w.query("n0", "req-000001") == "running"
 
 
-def test_a_job_that_comes_while_a_new_owner_reads_the_records_is_not_overlooked(monkeypatch):
+def test_a_job_that_comes_while_a_new_leader_reads_the_records_is_not_overlooked(monkeypatch):
     w = quiet()
-    adopt = OwnerState.adopt
+    recover = LeaderState.recover
 
-    def slow(engine, found, *rest):
+    def slow(scheduler, found, *rest):
         found = list(found)
-        # Seen by the mirror when there is no owner yet to be told.
+        # Seen by the watch cache when there is no leader yet to be told.
         assert w.submit("n0", w.job(1)) == 201
-        adopt(engine, found, *rest)
+        recover(scheduler, found, *rest)
 
-    monkeypatch.setattr(OwnerState, "adopt", slow)
-    w.boot("n0")  # its old incarnation is gone from the map at once, so it takes over here
+    monkeypatch.setattr(LeaderState, "recover", slow)
+    w.boot("n0")  # its old incarnation is gone from the leadership record at once, so it takes over here
     for _ in range(3):
         w.step()
     assert running(w) == ["req-000001/0", "req-000001/1"]
 
 
-def test_a_deposed_owner_that_has_seen_the_new_map_does_not_write_under_its_stamp():
+def test_a_deposed_leader_that_has_seen_the_new_leadership_record_does_not_write_under_its_stamp():
     w, old_name, other = deposed_with_work()
     old = w.nodes[old_name]
-    old.mirror.pull(0.0)  # the map is seen; the thread that makes the engine follow it has not run yet
-    assert old.engine.owner and not old.membership.is_mine()
-    before = ledger_rows(w)
+    old.watch_cache.pull(
+        0.0
+    )  # the leadership record is seen; the thread that makes the scheduler follow it has not run yet
+    assert old.scheduler.leader and not old.membership.is_leader()
+    before = task_log_rows(w)
     worker = next(iter(w.workers.values()))
-    w.report(worker, old_name)
+    w.heartbeat(worker, old_name)
     old.commit_once()
-    assert ledger_rows(w) == before
+    assert task_log_rows(w) == before
     assert worker.running() == []
     for _ in range(3):
         w.step()
@@ -1090,40 +1100,42 @@
 
 
 def test_an_answer_to_a_write_of_an_earlier_term_says_nothing_of_this_one():
-    """The same process loses the map and wins it again while a transaction is on its way."""
+    """The same process loses the leadership record and wins it again while a transaction is on its way."""
     w = quiet(nodes=1)
     node = decided(w, parts=4)
-    batch = node.engine.take_batch(12)
+    batch = node.scheduler.take_batch(12)
     assert batch is not None
-    assert node.membership.claim("n0")
-    w.step_node("n0")  # adopted again, under the new map
-    assert node.engine.term == node.membership.view.stamp != batch.term
+    assert node.membership.acquire_leadership("n0")
+    w.step_node("n0")  # adopted again, under the new leadership record
+    assert node.scheduler.term == node.membership.record.version != batch.term
     for _ in range(2):
         w.step()  # the workers have heard the new token
     w.submit("n0", w.job(2, crew="blue"))
-    node.mirror.pull(0.0)
-    node.engine.round()
-    flying = node.engine.take_batch(12)
-    assert flying is not None
-    node.engine.committed(batch)
-    assert not any(p.durable for p in [*batch.placements, *flying.placements])
-    assert flying.placements
-    assert node.engine.state.flying is flying, "what this term has on its way is not answered by that"
-    node.engine.not_committed(flying)
+    node.watch_cache.pull(0.0)
+    node.scheduler.round()
+    in_flight = node.scheduler.take_batch(12)
+    assert in_flight is not None
+    node.scheduler.committed(batch)
+    assert not any(p.durable for p in [*batch.placements, *in_flight.placements])
+    assert in_flight.placements
+    assert node.scheduler.state.in_flight is in_flight, (
+        "what this term has on its way is not answered by that"
+    )
+    node.scheduler.not_committed(in_flight)
     for _ in range(3):
         w.step()
     assert len(running(w)) == 6
 
 
-def test_rows_that_a_relay_left_behind_are_no_news_to_a_later_owner():
+def test_rows_that_a_relay_left_behind_are_no_news_to_a_later_leader():
     w = quiet(machines=1, nodes=2)
-    owner = w.owner()
-    other = next(n for n in w.nodes if n != owner)
+    leader = w.leader()
+    other = next(n for n in w.nodes if n != leader)
     worker = next(iter(w.workers.values()))
-    w.cut.add((worker.name, owner))
+    w.cut.add((worker.name, leader))
     for _ in range(3):
         w.step(1.0)
-        w.report(worker, other)
+        w.heartbeat(worker, other)
     assert any(k.startswith(records.RELAYS) for k in w.state.rows)
     del w.workers[worker.name]
     for name in list(w.nodes):
@@ -1132,7 +1144,7 @@
     w.boot("n0")
     for _ in range(4):
         w.step()
-    assert not any(m.reported for m in w.nodes["n0"].engine.state.machines.values())
+    assert not any(m.registered for m in w.nodes["n0"].scheduler.state.machines.values())
 
 
 # -- the users' addition: deaf machines, late copies, a controller cut off, quick returns, no starvation ---
@@ -1165,7 +1177,7 @@
     assert running(w) == ["req-000001/0", "req-000001/1"]
 
 
-def test_a_deaf_machine_with_running_tasks_loses_them_and_no_more():
+def test_a_unresponsive_machine_with_running_tasks_loses_them_and_no_more():
     w = quiet(machines=1)
     deaf = next(iter(w.workers.values()))
     w.submit("n0", w.job(1, parts=4))
@@ -1177,17 +1189,17 @@
     assert len(running(w)) == 4
 
 
-def test_an_idle_deaf_machine_is_found_by_its_leases():
+def test_an_idle_unresponsive_machine_is_found_by_its_leases():
     w = quiet(machines=1)
     deaf = next(iter(w.workers.values()))
     deaf.deaf = True
     wait(w, 26.0, fleet=False)
-    machine = next(iter(w.nodes["n0"].engine.state.machines.values()))
-    assert deaf.session == 3 and machine.quarantined, "two leases ran out although it was answered"
+    machine = next(iter(w.nodes["n0"].scheduler.state.machines.values()))
+    assert deaf.epoch == 3 and machine.quarantined, "two leases ran out although it was answered"
 
 
 def test_a_machine_that_never_says_our_token_gets_no_work():
-    """After a takeover: heard, perhaps only by copies, but nothing shows that it hears us."""
+    """After a failover: heard, perhaps only by copies, but nothing shows that it hears us."""
     w = quiet(machines=1)
     worker = next(iter(w.workers.values()))
     worker.deaf = True
@@ -1198,15 +1210,15 @@
     for _ in range(4):
         w.step()
     node = w.nodes["n0"]
-    assert any(m.reported for m in node.engine.state.machines.values())
-    assert not node.engine.state.jobs["req-000001"].open
+    assert any(m.registered for m in node.scheduler.state.machines.values())
+    assert not node.scheduler.state.jobs["req-000001"].open
     worker.deaf = False
     for _ in range(3):
         w.step()
     assert len(running(w)) == 2
 
 
-def test_a_cancelled_task_on_a_deaf_machine_is_gone_in_time():
+def test_a_cancelled_task_on_a_unresponsive_machine_is_gone_in_time():
     w = quiet(machines=2)
     w.submit("n0", w.job(1, parts=8))
     wait(w, 3.0, fleet=False)
@@ -1234,7 +1246,7 @@
     assert w.deleted == [cut[0]]
 
 
-def test_when_many_seem_deaf_the_fault_is_ours_and_none_is_replaced():
+def test_when_many_seem_unresponsive_the_fault_is_ours_and_none_is_replaced():
     w = quiet(machines=8)
     for worker in w.workers.values():
         worker.deaf = True
@@ -1243,10 +1255,10 @@
     assert w.deleted == []
 
 
-def test_copies_of_old_reports_revive_no_machine_after_a_takeover():
+def test_copies_of_old_heartbeats_revive_no_machine_after_a_failover():
     w = quiet(machines=1)
     worker = next(iter(w.workers.values()))
-    copies = [worker.report() for _ in range(3)]
+    copies = [worker.heartbeat() for _ in range(3)]
     w.execute_delete([worker.name])
     w.boot("n0")
     wait(w, 1.0, fleet=False)
@@ -1254,27 +1266,27 @@
     for copy in copies:
         w.replay(copy, "n0")
         wait(w, 0.5, fleet=False)
-    assert w.nodes["n0"].engine.state.machines, "it was heard of"
-    assert not w.nodes["n0"].engine.state.jobs["req-000001"].open, "and got nothing"
+    assert w.nodes["n0"].scheduler.state.machines, "it was heard of"
+    assert not w.nodes["n0"].scheduler.state.jobs["req-000001"].open, "and got nothing"
 
 
 def test_a_copy_neither_closes_nor_opens_anything_nor_counts_as_a_second_failure():
     w = quiet(machines=1)
     worker = next(iter(w.workers.values()))
     w.submit("n0", w.job(1, parts=1))
-    before = worker.report()
+    before = worker.heartbeat()
     for _ in range(3):
         w.step()
     assert running(w) == ["req-000001/0"]
-    engine = w.nodes["n0"].engine
-    place = engine.state.jobs["req-000001"].open[0]
+    scheduler = w.nodes["n0"].scheduler
+    placement = scheduler.state.jobs["req-000001"].open[0]
     w.replay(before, "n0")  # sent when the task was not there yet
     w.step()
-    assert engine.state.jobs["req-000001"].open[0] is place
+    assert scheduler.state.jobs["req-000001"].open[0] is placement
     worker.finish("req-000001/0", "error")
-    failed = worker.report()
+    failed = worker.heartbeat()
     w.step()
-    job = engine.state.jobs["req-000001"]
+    job = scheduler.state.jobs["req-000001"]
     assert job.errors == 1
     for _ in range(3):
         w.replay(failed, "n0")
@@ -1286,33 +1298,33 @@
 
 def test_a_copy_is_no_proof_that_a_cancelled_start_is_absent():
     w = quiet(machines=1, nodes=2)
-    owner = w.owner()
+    leader = w.leader()
     worker = next(iter(w.workers.values()))
-    empty = worker.report()
-    decided(w, owner, parts=1).commit_once()  # committed; the start is still to go out
-    w.cancel(owner, "req-000001")
-    w.boot(owner)  # and the next owner has not heard the machine yet
+    empty = worker.heartbeat()
+    decided(w, leader, parts=1).commit_once()  # committed; the start is still to go out
+    w.cancel(leader, "req-000001")
+    w.boot(leader)  # and the next leader has not heard the machine yet
     for _ in range(10):
         w.pass_time(0.5)
         w.state.expire()
         for name in list(w.nodes):
             w.step_node(name)
-    engine = w.nodes[w.owner()].engine
-    assert engine.state.jobs["req-000001"].open
-    w.replay(empty, w.owner())
-    assert engine.state.jobs["req-000001"].open, "a copy proves nothing"
+    scheduler = w.nodes[w.leader()].scheduler
+    assert scheduler.state.jobs["req-000001"].open
+    w.replay(empty, w.leader())
+    assert scheduler.state.jobs["req-000001"].open, "a copy proves nothing"
     for _ in range(3):
         w.step()
-    assert "req-000001" not in engine.state.jobs
+    assert "req-000001" not in scheduler.state.jobs
 
 
-def test_a_copy_moves_no_worker_between_owner_and_relay():
+def test_a_copy_moves_no_worker_between_leader_and_relay():
     w = quiet(machines=1, nodes=2)
-    owner = w.owner()
-    other = next(n for n in w.nodes if n != owner)
+    leader = w.leader()
+    other = next(n for n in w.nodes if n != leader)
     worker = next(iter(w.workers.values()))
-    copy = worker.report()
-    assert w.report(worker, other) in (200, 421)
+    copy = worker.heartbeat()
+    assert w.heartbeat(worker, other) in (200, 421)
     wait(w, 15.0, fleet=False)
     relay = w.nodes[other].relay
     before = dict(relay._until), dict(relay._reports)
@@ -1320,25 +1332,25 @@
         w.pass_time(2.0)
         w.replay(copy, other)
     assert (relay._until, relay._reports) == before
-    machine = next(iter(w.nodes[owner].engine.state.machines.values()))
+    machine = next(iter(w.nodes[leader].scheduler.state.machines.values()))
     assert machine.relay == ""
 
 
-def test_workers_of_an_owner_that_is_cut_off_reach_one_that_can_act_with_their_tasks():
+def test_workers_of_an_leader_that_is_cut_off_reach_one_that_can_act_with_their_tasks():
     w = quiet(machines=3, nodes=3)
-    owner = w.owner()
-    w.submit(owner, w.job(1, crew="blue", parts=12))
+    leader = w.leader()
+    w.submit(leader, w.job(1, crew="blue", parts=12))
     wait(w, 3.0)
     assert len(running(w)) == 12
-    sessions = [worker.session for worker in w.workers.values()]
-    w.state.lost.add(owner)
-    w.mesh_cut.add(owner)
+    epochs = [worker.epoch for worker in w.workers.values()]
+    w.state.lost.add(leader)
+    w.mesh_cut.add(leader)
     wait(w, 14.0)
-    assert w.owner() is not None and any(n.engine.owner for k, n in w.nodes.items() if k != owner)
-    assert [worker.session for worker in w.workers.values()] == sessions, "no lease ran out"
+    assert w.leader() is not None and any(n.scheduler.leader for k, n in w.nodes.items() if k != leader)
+    assert [worker.epoch for worker in w.workers.values()] == epochs, "no lease ran out"
     assert len(running(w)) == 12
-    assert not w.nodes[owner].healthy(), "its users go elsewhere"
-    w.cancel(next(n for n in w.nodes if n != owner), "req-000001")
+    assert not w.nodes[leader].healthy(), "its users go elsewhere"
+    w.cancel(next(n for n in w.nodes if n != leader), "req-000001")
     wait(w, 10.0)
     assert running(w) == []
 
@@ -1348,7 +1360,7 @@
     w.state.down = True
     wait(w, 20.0, fleet=False)
     assert all(not node.isolated() and node.healthy() for node in w.nodes.values())
-    assert all(worker.session == 1 for worker in w.workers.values())
+    assert all(worker.epoch == 1 for worker in w.workers.values())
 
 
 def test_a_late_write_of_the_old_incarnation_does_not_pass_for_the_new_one():
@@ -1358,105 +1370,106 @@
     assert w.state.held
     node = w.boot("n0")
     wait(w, 1.0)
-    assert node.engine.owner
-    token = node.membership.view.token
+    assert node.scheduler.leader
+    fencing_token = node.membership.record.fencing_token
     w.state.release()
     assert w.state.rows[records.MEMBERS + "n0"][0] == node.incarnation
     wait(w, 8.0)  # longer than the old lease
-    assert node.engine.owner and node.membership.view.token == token
+    assert node.scheduler.leader and node.membership.record.fencing_token == fencing_token
 
 
 def test_a_large_idle_array_gets_its_turn_under_a_full_fleet_and_a_burst_of_small_urgent_jobs():
     """The bound: every `turn_s`, and the time until room is given back, `turn_share` of its tasks start."""
     w = quiet(machines=2)  # 8 CPUs, all that there ever is
     w.capacity = 0
-    policy = w.nodes["n0"].engine.policy
+    policy = w.nodes["n0"].scheduler.policy
     w.submit("n0", w.job(1, crew="red", parts=100, rank="idle", guess_s=10.0))
     number = 1
     began: dict[str, float] = {}
     for _ in range(240):
-        while sum(len(j.waiting) for j in w.nodes["n0"].engine.state.jobs.values()) < 60:
+        while sum(len(j.waiting) for j in w.nodes["n0"].scheduler.state.jobs.values()) < 60:
             number += 1
             w.submit("n0", w.job(number, crew="blue", parts=4, rank="urgent", guess_s=10.0))
         wait(w, 2.0, fleet=False)
-        for part in running(w):
-            began.setdefault(part, w.clock.now)
-            if w.clock.now - began[part] >= 10.0:
-                w.finish(part)
-    mine = sorted(at - 1000.0 for part, at in began.items() if part.startswith("req-000001/"))
-    assert mine[0] <= policy.turn_s + 20.0
+        for task_id in running(w):
+            began.setdefault(task_id, w.clock.now)
+            if w.clock.now - began[task_id] >= 10.0:
+                w.finish(task_id)
+    names_process = sorted(at - 1000.0 for task_id, at in began.items() if task_id.startswith("req-000001/"))
+    assert names_process[0] <= policy.turn_s + 20.0
     turns = int(480 / (policy.turn_s + 20.0))
-    assert len(mine) >= turns * 2, "2 of 100 tasks a turn"
-    done = [part for part in w.done_tasks if part.startswith("req-000001/")]
-    assert len(done) >= len(mine) - 2, "nobody pushed them out"
+    assert len(names_process) >= turns * 2, "2 of 100 tasks a turn"
+    done = [task_id for task_id in w.done_tasks if task_id.startswith("req-000001/")]
+    assert len(done) >= len(names_process) - 2, "nobody pushed them out"
 
 
 def stands_still(nodes: int = 3, seconds: float = 60.0) -> tuple[World, str]:
-    """A world with work running whose owner stands still for a while."""
+    """A world with work running whose leader stands still for a while."""
     w = quiet(machines=4, nodes=nodes)
     w.submit("n0", w.job(1, crew="blue", parts=16, guess_s=500.0))
     wait(w, 3.0, fleet=False)
     assert len(running(w)) == 16
-    old = w.owner()
+    old = w.leader()
     w.frozen.add(old)
     for _ in range(int(seconds * 2)):
         w.step(0.5)
         for worker in w.workers.values():
             w.wander(worker)
     w.frozen.clear()
-    assert w.nodes[old].engine.owner, "it goes on with the view that it had"
+    assert w.nodes[old].scheduler.leader, "it goes on with the view that it had"
     return w, old
 
 
 @pytest.mark.parametrize("seconds", [20.0, 60.0])  # within the bound for outages, and beyond it
-def test_an_owner_that_stood_still_judges_and_commands_nothing_on_its_old_view(seconds):
+def test_an_leader_that_stood_still_judges_and_commands_nothing_on_its_old_view(seconds):
     """Whichever of its threads goes on first. One deleted the fleet, silent for a minute as it seemed."""
     for first in ("fleet", "delete", "rent", "command", "report"):
         w, old = stands_still(seconds=seconds)
-        assert [n for n in w.nodes if n != old and w.nodes[n].engine.owner], "another has taken over"
+        assert [n for n in w.nodes if n != old and w.nodes[n].scheduler.leader], "another has taken over"
         assert len(running(w)) == 16
         node = w.nodes[old]
-        rented, sent = w.rented, []
+        launched_at, sent = w.launched_at, []
         node._command = lambda address, body, sent=sent: sent.append(address)
         worker = next(iter(w.workers.values()))
         if first == "fleet":
             w.fleet(old)
         elif first == "delete":
-            node.cloud_calls.delete(sorted(w.workers))
+            node.cloud_operations.delete(sorted(w.workers))
         elif first == "rent":
-            node.cloud_calls.rent(RentalOrder("small", "north", True, 3, "backlog"))
-            assert not node.engine.state.refused, "the cloud was not asked, so it has refused nothing"
+            node.cloud_operations.launch(LaunchRequest("small", "north", True, 3, "backlog"))
+            assert not node.scheduler.state.refused, "the cloud was not asked, so it has refused nothing"
         elif first == "command":
-            index = node.engine.state.machines_by.find(worker.name)
-            for place in node.engine.state.machines[index].open.values():
-                node.engine.state.halt(place, 0.0)
+            index = node.scheduler.state.machine_names.find(worker.name)
+            for placement in node.scheduler.state.machines[index].open.values():
+                node.scheduler.state.stop(placement, 0.0)
             node._command_step()
         else:
-            copy = msgspec.structs.replace(worker.report(), token=1, tick=999)
-            assert node.report(copy, NEVER)[0] == 503
-        assert w.deleted == [] and w.rented == rented and sent == [], first
+            copy = msgspec.structs.replace(worker.heartbeat(), fencing_token=1, sequence=999)
+            assert node.heartbeat(copy, NEVER)[0] == 503
+        assert w.deleted == [] and w.launched_at == launched_at and sent == [], first
         wait(w, 10.0)
         assert w.deleted == [] and len(running(w)) == 16
 
 
 def test_the_only_controller_stands_still_and_loses_no_machine():
-    """Nobody takes over; all leases run out, and everybody comes back with a new session."""
+    """Nobody takes over; all leases run out, and everybody comes back with a new epoch."""
     w, name = stands_still(nodes=1)
     before = set(w.workers)
-    w.step_node(name)  # it is sure to be the owner again before anybody has reported
+    w.step_node(name)  # it is sure to be the leader again before anybody has reported
     w.fleet(name)
     wait(w, 10.0)
     assert w.deleted == [] and set(w.workers) >= before
     assert len(running(w)) == 16
 
 
-def test_the_first_report_after_a_standstill_awaits_the_verification_that_it_calls_for():
+def test_the_first_heartbeat_after_a_standstill_awaits_the_verification_that_it_calls_for():
     w, name = stands_still(nodes=1, seconds=8.0)
-    assert w.report(next(iter(w.workers.values())), name) == 200
+    assert w.heartbeat(next(iter(w.workers.values())), name) == 200
 
 
 def test_an_outage_longer_than_any_patience_costs_no_machine():
-    """From a bound on reports are turned away, so all workers are silent: that is our doing, not theirs."""
+    """From a bound on heartbeats are turned away, so all workers are silent: that is our doing, not
+    theirs."""
     w = quiet(machines=4)
     w.submit("n0", w.job(1, crew="blue", parts=16, guess_s=500.0))
     wait(w, 3.0)
@@ -1464,7 +1477,7 @@
     w.state.down = True
     wait(w, 90.0)
     w.state.down = False
-    w.step_node("n0")  # it is sure to be the owner again before anybody has reported
+    w.step_node("n0")  # it is sure to be the leader again before anybody has reported
     w.fleet("n0")
     wait(w, 10.0)
     assert w.deleted == [] and set(w.workers) == before
@@ -1473,23 +1486,23 @@
 
 @pytest.mark.parametrize("fields", [{"loaners": False}, {"builds": ["cards"], "parts": 1}])
 def test_work_that_no_machine_of_the_fleet_may_take_gets_one_of_its_own(fields):
-    """An idle fleet that may not serve a job was reason enough to rent nothing; the job waited for ever."""
+    """An idle fleet that may not serve a job was reason enough to launch nothing; the job waited for ever."""
     w = quiet(machines=3)
     w.submit("n0", w.job(1, **fields))
     wait(w, 12.0)
     assert len(running(w)) == w.specs["req-000001"].tasks  # the world sees to it that the place is allowed
 
 
-def test_where_no_cheap_machine_is_to_be_had_stranded_work_gets_an_ordinary_one(monkeypatch):
+def test_where_no_spot_machine_is_to_be_had_stranded_work_gets_an_on_demand_one(monkeypatch):
     w = quiet(machines=3)
-    rent = w.rent
+    launch = w.launch
 
     def no_spot(request, kind, zone, spot, count):
         if spot:
             raise NoCapacityError
-        return rent(request, kind, zone, spot, count)
+        return launch(request, kind, zone, spot, count)
 
-    monkeypatch.setattr(w, "rent", no_spot)
+    monkeypatch.setattr(w, "launch", no_spot)
     w.submit("n0", w.job(1, builds=["cards"], parts=1))
     wait(w, 12.0)
     assert len(running(w)) == 1
--- a/tests/test_takeover_estimates.py
+++ b/tests/test_takeover_estimates.py
@@ -1,4 +1,4 @@
-"""What a new owner makes of tasks that were running before it: it does not know since when."""
+"""What a new leader makes of tasks that were running before it: it does not know since when."""
 
 from test_stories import quiet, running, wait
 from world import World
@@ -14,43 +14,43 @@
     cluster.submit("n0", cluster.job(1, crew="open", parts=6, guess_s=GUESS_S))
     wait(cluster, 30.0, fleet=False)
     assert len(running(cluster)) == 6
-    old = cluster.owner()
+    old = cluster.leader()
     assert old is not None
     del cluster.nodes[old]
     wait(cluster, 8.0, fleet=False)
-    heir = cluster.owner()
+    heir = cluster.leader()
     assert heir not in (None, old)
     assert len(running(cluster)) == 6
     return cluster, heir
 
 
-def test_tasks_that_end_after_a_takeover_teach_no_run_times():
-    """They counted as runs of a few seconds, the class was expected to end at once, and after each takeover
-    the backlog seemed to be nothing, for renting, for stops and for the order of service."""
+def test_tasks_that_end_after_a_failover_teach_no_run_times():
+    """They counted as runs of a few seconds, the class was expected to end at once, and after each failover
+    the backlog seemed to be nothing, for launching, for stops and for the order of service."""
     cluster, heir = takeover()
-    engine = cluster.nodes[heir].engine
+    scheduler = cluster.nodes[heir].scheduler
     for task in range(4):
         cluster.finish(f"req-000001/{task}")
     wait(cluster, 2.0, fleet=False)
-    job = engine.state.jobs["req-000001"]
+    job = scheduler.state.jobs["req-000001"]
     assert len(job.done) == 4
-    assert engine.state.expected(job) == GUESS_S
+    assert scheduler.state.expected(job) == GUESS_S
 
 
-def test_what_the_new_owner_placed_itself_does_teach_them():
+def test_what_the_new_leader_placed_itself_does_teach_them():
     cluster, heir = takeover()
-    engine = cluster.nodes[heir].engine
+    scheduler = cluster.nodes[heir].scheduler
     cluster.submit(heir, cluster.job(2, crew="open", parts=2, guess_s=GUESS_S))
     wait(cluster, 12.0, fleet=False)
     for task in range(2):
         cluster.finish(f"req-000002/{task}")
     wait(cluster, 2.0, fleet=False)
-    assert engine.state.expected(engine.state.jobs["req-000001"]) < GUESS_S
+    assert scheduler.state.expected(scheduler.state.jobs["req-000001"]) < GUESS_S
 
 
-def test_stopping_an_inherited_task_loses_more_than_the_time_since_the_takeover():
+def test_stopping_an_inherited_task_loses_more_than_the_time_since_the_failover():
     cluster, heir = takeover()
-    engine = cluster.nodes[heir].engine
-    job = engine.state.jobs["req-000001"]
-    for place in job.open.values():
-        assert lost_work(job, place, cluster.clock.now, GUESS_S) >= 0.5 * GUESS_S
+    scheduler = cluster.nodes[heir].scheduler
+    job = scheduler.state.jobs["req-000001"]
+    for placement in job.open.values():
+        assert lost_work(job, placement, cluster.clock.now, GUESS_S) >= 0.5 * GUESS_S
--- a/tests/test_tempered.py
+++ b/tests/test_tempered.py
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_the_highest_load_never_rises_through_an_accepted_move(seed):
-    """Lemma 1, for the machines in the picture, of different sizes too."""
+    """Lemma 1, for the machines in the snapshot, of different sizes too."""
     rng = random.Random(seed)
     hosts = [
         host(n, rng.choice([4, 8]), *(rng.choice([0.5, 1, 2]) for _ in range(rng.randint(0, 4))))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,8 +9,8 @@
 from test_stories import quiet, running
 from world import World
 
-from bayford.coordination.store_limits import Limits
-from bayford.coordination.workers.relay import reports_in
+from bayford.coordination.store_limits import StoreLimits
+from bayford.coordination.workers.relay import heartbeats_in
 from bayford.protocol import mesh, workers
 from bayford.storage import load_summary, records, task_log
 from bayford.storage.key_value_store import Row, TooLargeError
@@ -20,13 +20,13 @@
 COMING = "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0"
 
 
-def golden_ledger() -> task_log.Ledger:
-    found = task_log.Ledger(GOLDEN["layout_bytes"])
+def golden_task_log() -> task_log.TaskLog:
+    found = task_log.TaskLog(GOLDEN["layout_bytes"])
     found.rebuild([tuple(row) for row in GOLDEN["rows"]])
     return found
 
 
-def told(found: task_log.Ledger) -> dict:
+def told(found: task_log.TaskLog) -> dict:
     return {
         job: {"open": {str(t): list(p) for t, p in sorted(g.open.items())}, "done": sorted(g.done)}
         for job, g in sorted(found.jobs.items())
@@ -53,33 +53,33 @@
 
 
 def test_rows_of_production_add_up_and_a_short_row_after_them_has_their_form():
-    found = golden_ledger()
+    found = golden_task_log()
     assert told(found) == GOLDEN["state"]
-    assert [found.next, found.tail, found.next_attempt, [list(s) for s in found.slots(3)]] == GOLDEN["next"]
+    assert [found.next, found.tail, found.next_attempt, [list(s) for s in found.next_slots(3)]] == GOLDEN["next"]
     known = {key for _, _, row in GOLDEN["rows"] for key in row} | {"x", "c"}
     rows = [tuple(row) for row in GOLDEN["rows"]]
-    stamp = 1000
+    version = 1000
     for _ in range(120):
-        maker = task_log.RowMaker(found, found.next, found.dead_before(), found.next_attempt, 2048)
-        maker.snapshots()
-        slot, _ = found.slots(1)[0]
-        value = orjson.loads(orjson.dumps(maker.finish()))
+        maker = task_log.RowBuilder(found, found.next, found.reclaimable_tail(), found.next_attempt, 2048)
+        maker.add_snapshots()
+        slot, _ = found.next_slots(1)[0]
+        value = orjson.loads(orjson.dumps(maker.build()))
         assert set(value) <= known, "an old reader takes no unknown field"
         assert len(orjson.dumps(value)) <= 2048
-        stamp += 1
-        found.take(slot, stamp, value)
-        rows = [row for row in rows if row[0] != slot] + [(slot, stamp, value)]
+        version += 1
+        found.apply_row(slot, version, value)
+        rows = [row for row in rows if row[0] != slot] + [(slot, version, value)]
     assert told(found) == GOLDEN["state"]
-    fresh = task_log.Ledger(GOLDEN["layout_bytes"])
+    fresh = task_log.TaskLog(GOLDEN["layout_bytes"])
     fresh.rebuild(rows)
     assert told(fresh) == GOLDEN["state"]
     assert max(len(orjson.dumps(value)) for _, _, value in rows if value["n"] >= fresh.tail) <= 2048
 
 
 def test_relay_texts_summaries_status_and_answers_of_production_are_read_and_still_written_so():
-    name, reports = reports_in(Row("b/relay/n2/0", GOLDEN["relay"], 5), GOLDEN["relay"]["at"])
-    assert name == "n2" and [msgspec.to_builtins(r) for r in reports] == [GOLDEN["report"]]
-    assert mesh.pack_reports(reports, 2000) == [GOLDEN["relay"]["reports"]]
+    name, heartbeats = heartbeats_in(Row("b/relay/n2/0", GOLDEN["relay"], 5), GOLDEN["relay"]["at"])
+    assert name == "n2" and [msgspec.to_builtins(r) for r in heartbeats] == [GOLDEN["report"]]
+    assert mesh.pack_heartbeats(heartbeats, 2000) == [GOLDEN["relay"]["reports"]]
     rows = [Row(key, value, 5) for key, value in GOLDEN["summary"]]
     assert load_summary.newest(rows, 0.0) == {"vm-000231": ["img-07", "img-1"], "vm-000232": ["img-1"]}
     picture = [("vm-000231", 0.5, ["img-07", "img-1"]), ("vm-000232", 0.0, ["img-1"])]
@@ -87,32 +87,35 @@
         "summary"
     ]
     status = mesh.decode_status(orjson.dumps(GOLDEN["status"]))
-    assert (status.member, status.token, status.served, status.release) == ("n2", 7, True, 1)
+    assert (status.member, status.fencing_token, status.served, status.release) == ("n2", 7, True, 1)
     ours = orjson.loads(mesh.encode_status(mesh.Status("n2", 7, "n2", True, mesh.RELEASE)))
     assert {k: ours[k] for k in GOLDEN["status"]} == GOLDEN["status"]
-    orders = [workers.Start("req-000412/4", 2), workers.Halt("req-000377/1", 1, 10.0)]
-    assert orjson.loads(workers.answer(7, [*orders, workers.Reap("req-000398/0", 1)])) == GOLDEN["answer"]
+    commands = [workers.Start("req-000412/4", 2), workers.Stop("req-000377/1", 1, 10.0)]
+    assert (
+        orjson.loads(workers.encode_response(7, [*commands, workers.Reap("req-000398/0", 1)]))
+        == GOLDEN["answer"]
+    )
     assert orjson.loads(workers.redirect("n2")) == GOLDEN["redirect"]
 
 
-def test_the_map_and_the_members_keep_the_form_that_an_old_controller_compares():
+def test_the_leadership_record_and_the_members_keep_the_form_that_an_old_controller_compares():
     w = quiet(nodes=2)
     assert shape(w.state.rows["b/map"][0]).keys() == shape(GOLDEN["map"]).keys()
     for name in w.nodes:
         assert isinstance(w.state.rows[f"b/member/{name}"][0], str) and isinstance(GOLDEN["member"], str)
 
 
-def test_a_map_with_many_teams_is_cut_to_what_every_version_reads():
+def test_a_leadership_record_with_many_teams_is_cut_to_what_every_version_reads():
     w = quiet(nodes=2)
     node = w.nodes["n0"]
     node.membership._teams = [f"team-{n:03d}-of-a-long-name" for n in range(200)]
     node.limits.value_bytes = w.state.value_bytes = 1024
-    assert node.membership.claim("n0")
+    assert node.membership.acquire_leadership("n0")
     value = w.state.rows["b/map"][0]
-    owner = next(iter(value["owners"].values()))  # as production reads it
-    assert owner == "n0" and value["members"][owner] == node.incarnation
+    leader = next(iter(value["owners"].values()))  # as production reads it
+    assert leader == "n0" and value["members"][leader] == node.incarnation
     w.step()
-    assert w.owner() == "n0"
+    assert w.leader() == "n0"
 
 
 def load(w: World, tasks: int) -> None:
@@ -129,7 +132,7 @@
 def test_the_smaller_of_both_limits_is_kept_to_and_each_may_be_absent_or_larger():
     state = quiet().settings("n0").facts.state
     coming = msgspec.convert({"value_kb": 2.0, "txn_ops": 40}, type(state).__annotations__["next"])
-    limits = Limits(msgspec.structs.replace(state, next=coming))
+    limits = StoreLimits(msgspec.structs.replace(state, next=coming))
     assert (limits.value_bytes, limits.txn_ops, limits.write_rps, limits.layout_bytes) == (
         2048,
         12,
@@ -147,9 +150,9 @@
         w.step()
     w.state.value_bytes, w.state.txn_ops = 512, 4
     for _ in range(40):
-        for part in running(w):
-            if part.startswith("req-000001"):
-                w.finish(part)
+        for task_id in running(w):
+            if task_id.startswith("req-000001"):
+                w.finish(task_id)
         w.step()
     assert w.query("n0", "req-000001") == "done"
     assert [p for p in running(w) if p.startswith("req-000002")] == ["req-000002/0", "req-000002/1"]
@@ -172,12 +175,12 @@
     assert w.cancel("n0", "req-000002") is None, "refused as it stands"
     w.nodes["n0"].limits.value_bytes = 400
     assert w.cancel("n0", "req-000002") == "aborted"
-    for part in running(w):
-        w.finish(part)
+    for task_id in running(w):
+        w.finish(task_id)
     for _ in range(6):
         w.step()
-        for part in running(w):
-            w.finish(part)
+        for task_id in running(w):
+            w.finish(task_id)
     assert w.query("n0", "req-000001") == "done"
     w.boot("n0")  # and what is left of it is still read
     for _ in range(12):
@@ -198,8 +201,12 @@
     w = quiet()
     node = w.nodes["n0"]
     w.state.txn_ops, w.state.value_bytes = 2, 300
-    node._put_all([load_summary.Put(f"b/relay/n0/{n}", {"at": 1.0, "reports": "x" * size}) for n, size in
-                   enumerate([10, 20, 900, 30])])  # fmt: skip
+    node._put_all(
+        [
+            load_summary.Put(f"b/relay/n0/{n}", {"at": 1.0, "reports": "x" * size})
+            for n, size in enumerate([10, 20, 900, 30])
+        ]
+    )
     assert [k for k in w.state.rows if k.startswith("b/relay")] == [
         "b/relay/n0/0",
         "b/relay/n0/1",
@@ -213,7 +220,7 @@
     w = quiet(machines=40, value_kb=0.5, writes=15.0)
     node = w.nodes["n0"]
     for worker in w.workers.values():
-        w.report(worker)
+        w.heartbeat(worker)
     before = node.writes.available()
     w.state.refuses.add("n0")
     for _ in range(20):
@@ -232,20 +239,20 @@
     load(w, 90)  # so many that the log is long enough for snapshots
     for _ in range(60):
         w.step()
-        for part in running(w):
-            if part.startswith("req-000001") and w.rng.random() < 0.1:
-                w.finish(part)
-    before = w.nodes["n0"].mirror.with_ledger(told)
+        for task_id in running(w):
+            if task_id.startswith("req-000001") and w.rng.random() < 0.1:
+                w.finish(task_id)
+    before = w.nodes["n0"].watch_cache.with_task_log(told)
     assert any("s" in row[0] for key, row in w.state.rows.items() if key.startswith(records.LOG))
     w.value_kb = 0.6
     node = w.boot("n0")
     assert node.limits.value_bytes == 614
-    assert node.mirror.with_ledger(told) == before
+    assert node.watch_cache.with_task_log(told) == before
     for _ in range(30):
         w.step()
-        for part in running(w):
-            if part.startswith("req-000001"):
-                w.finish(part)
+        for task_id in running(w):
+            if task_id.startswith("req-000001"):
+                w.finish(task_id)
     assert w.query("n0", "req-000001") == "done"
 
 
@@ -257,21 +264,21 @@
         w.boot(name)
     for _ in range(10):
         w.step()
-    assert w.owner() is None and {w.nodes[n].query("req-000001")[0] for n in w.nodes} == {503}
+    assert w.leader() is None and {w.nodes[n].query("req-000001")[0] for n in w.nodes} == {503}
 
 
 # -- who takes over --------------------------------------------------------------------------------------
 
 
 def upgrading(machines: int = 2) -> World:
-    """Three old controllers, an old owner, and work that runs."""
+    """Three old controllers, an old leader, and work that runs."""
     w = World(3, coming=COMING, old=["n0", "n1", "n2"])
     for _ in range(machines):
         w.machine()
     w.submit("n0", w.job(1, parts=3))
     for _ in range(4):
         w.step()
-    assert w.owner() == "n0" and len(running(w)) == 3
+    assert w.leader() == "n0" and len(running(w)) == 3
     return w
 
 
@@ -284,20 +291,20 @@
     w.boot(name)
 
 
-def test_the_first_new_controller_takes_over_from_an_old_owner_and_it_is_the_only_takeover():
+def test_the_first_new_controller_takes_over_from_an_old_leader_and_it_is_the_only_failover():
     w = upgrading()
-    token = w.nodes["n0"].membership.view.token
+    fencing_token = w.nodes["n0"].membership.record.fencing_token
     for name in ("n2", "n1", "n0"):
         renew(w, name)
         for _ in range(20):
             w.step()
-        assert w.owner() == "n2", "not handed to one that is still to go, nor back"
+        assert w.leader() == "n2", "not handed to one that is still to go, nor back"
         assert len(running(w)) == 3
-    assert w.nodes["n2"].membership.view.token == token + 1
+    assert w.nodes["n2"].membership.record.fencing_token == fencing_token + 1
     assert not w.nodes["n0"].peers.older() and not w.nodes["n2"].peers.older()
 
 
-def test_no_takeover_from_an_old_owner_while_anybody_is_out_of_reach():
+def test_no_failover_from_an_old_leader_while_anybody_is_out_of_reach():
     w = upgrading()
     renew(w, "n2")
     for _ in range(3):
@@ -305,23 +312,23 @@
     w.mesh_cut.add("n1")
     for _ in range(20):
         w.step()
-    assert w.owner() == "n0"
+    assert w.leader() == "n0"
     w.mesh_cut.clear()
     for _ in range(4):
         w.step()
-    assert w.owner() == "n2"
+    assert w.leader() == "n2"
 
 
-def test_a_new_controller_comes_before_an_old_one_when_the_owner_is_gone():
+def test_a_new_controller_comes_before_an_old_one_when_the_leader_is_gone():
     w = upgrading()
     renew(w, "n1")
-    w.mesh_cut.add("n2")  # so that it does not take over while the owner lives
+    w.mesh_cut.add("n2")  # so that it does not take over while the leader lives
     w.step()
     new, old = w.nodes["n1"].membership, w.nodes["n2"].membership
-    assert new.turn() < old.turn() and new.turn() == 0.0
+    assert new.failover_delay_s() < old.failover_delay_s() and new.failover_delay_s() == 0.0
     w.old.discard("n0")  # as if n0 were new, too
     w.nodes["n1"].peers.releases["n0"] = mesh.RELEASE
-    assert new.turn() > 0.0
+    assert new.failover_delay_s() > 0.0
 
 
 def test_a_controller_that_comes_back_old_within_an_instant_takes_nothing_and_loses_nothing():
@@ -329,17 +336,17 @@
     renew(w, "n2")
     for _ in range(20):
         w.step()
-    assert w.owner() == "n2"
+    assert w.leader() == "n2"
     w.boot("n0")  # old, since its turn has not come
     w.boot("n0")
     for _ in range(10):
         w.step()
-    assert w.owner() == "n2" and len(running(w)) == 3
-    # An old owner of what a new one wrote, and a new one of what an old one wrote.
+    assert w.leader() == "n2" and len(running(w)) == 3
+    # An old leader of what a new one wrote, and a new one of what an old one wrote.
     del w.nodes["n2"], w.nodes["n1"]
     for _ in range(12):
         w.step()
-    assert w.owner() == "n0" and len(running(w)) == 3
+    assert w.leader() == "n0" and len(running(w)) == 3
     w.submit("n0", w.job(2, parts=2))
     for _ in range(4):
         w.step()
@@ -349,8 +356,8 @@
     for _ in range(16):
         w.step()
     assert len(running(w)) == 5
-    for part in running(w):
-        w.finish(part)
+    for task_id in running(w):
+        w.finish(task_id)
     for _ in range(4):
         w.step()
     assert {w.query(name, f"req-00000{n}") for name in w.nodes for n in (1, 2)} == {"done"}
@@ -360,20 +367,22 @@
     w = quiet()
     w.state.value_bytes = 10
     with pytest.raises(TooLargeError):
-        w.nodes["n0"].store.commit({}, [load_summary.Put("b/x", "y" * 20)])
+        w.nodes["n0"].store.compare_and_swap({}, [load_summary.Put("b/x", "y" * 20)])
     assert w.nodes["n0"].limits.value_bytes == 8192, "only a commit of the owner's teaches"
 
 
-def test_an_old_owner_is_not_told_of_cancellations_and_stops_their_tasks_all_the_same():
+def test_an_old_leader_is_not_told_of_cancellations_and_stops_their_tasks_all_the_same():
     """Release 1 knows no such news and answers 404, which counts as told: its own watch tells it."""
     w = upgrading()
     renew(w, "n2")
-    assert w.owner() in w.old and "n2" not in w.old
-    w.nodes["n2"].notices.notify = {name: lambda told: heard.append(told) or True for name in w.old}
-    heard: list[dict] = []
+    assert w.leader() in w.old and "n2" not in w.old
+    w.nodes["n2"].notices.notify = {
+        name: lambda told: last_heartbeat_at.append(told) or True for name in w.old
+    }
+    last_heartbeat_at: list[dict] = []
     assert w.cancel("n2", "req-000001") == "aborted"
     assert w.nodes["n2"].notices.send() and w.nodes["n2"].notices.send()
-    assert [list(told) for told in heard] == [["req-000001"]], "once, and not again and again"
+    assert [list(told) for told in last_heartbeat_at] == [["req-000001"]], "once, and not again and again"
     for _ in range(4):
         w.step()
     assert not running(w)
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,7 +17,7 @@
 from bayford.clock import NEVER
 from bayford.config import Settings, parse
 from bayford.coordination.controller import Controller
-from bayford.coordination.leader.scheduler import Engine
+from bayford.coordination.leader.scheduler import Scheduler
 from bayford.protocol import jobs, mesh, workers
 from bayford.protocol.cloud_api import LIST_PAGE, CloudBusyError, Listed, MachinePage, NoCapacityError
 from bayford.scheduling.model import MachineType
@@ -97,7 +97,7 @@
 
 
 class FakeState:
-    """The state service by its page: stamps, leases, transactions, changes; and its faults."""
+    """The state service by its page: versions, leases, transactions, changes; and its faults."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -209,7 +209,7 @@
         rows = [Row(k, v, s) for k, (v, s, _) in sorted(self.state.rows.items()) if k.startswith(prefix)]
         return rows, self.state.epoch
 
-    def commit(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
+    def compare_and_swap(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
         self._check()
         if len(puts) > self.state.txn_ops or any(
             put.value is not None and len(orjson.dumps(put.value)) > self.state.value_bytes for put in puts
@@ -232,21 +232,21 @@
             raise OutcomeUnknownError("answer lost")
         return outcome
 
-    def changes(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
+    def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
         self._check()
         if self.node in self.state.blind:
             raise OutcomeUnknownError("no answer")
-        first = bisect.bisect_right(self.state.log, since, key=lambda row: row.stamp)
+        first = bisect.bisect_right(self.state.log, since, key=lambda row: row.version)
         found = [r for r in self.state.log[first:] if r.key.startswith(prefix)]
         return found, self.state.epoch
 
-    def lease(self, ttl_s: float) -> int:
+    def grant_lease(self, ttl_s: float) -> int:
         self._check()
         number = len(self.state.leases) + self.state.epoch * 1000
         self.state.leases[number] = (self.state.clock.now + ttl_s, ttl_s)
         return number
 
-    def renew(self, lease: int) -> None:
+    def renew_lease(self, lease: int) -> None:
         self._check()
         if lease not in self.state.leases:
             raise LeaseGoneError
@@ -254,73 +254,87 @@
         self.state.leases[lease] = (self.state.clock.now + ttl, ttl)
 
 
-def copy_of(report: workers.Report) -> workers.Report:
+def copy_of(heartbeat: workers.Heartbeat) -> workers.Heartbeat:
     """As if it had gone over the wire."""
-    return msgspec.convert(msgspec.to_builtins(report), workers.Report)
+    return msgspec.convert(msgspec.to_builtins(heartbeat), workers.Heartbeat)
 
 
 @dataclass
 class Attempt:
     """A task attempt on a worker."""
 
-    part: str
+    task_id: str
     number: int
     phase: str
-    why: str | None = None
-    saved: bool = False
+    reason: str | None = None
+    checkpointed: bool = False
 
 
 @dataclass
 class Worker:
-    """A machine's worker by the protocol: tokens, sessions, leases, orders."""
+    """A machine's worker by the protocol: tokens, epochs, leases, orders."""
 
     world: World
     name: str
     kind: MachineType
     zone: str
     spot: bool
-    session: int = 1
-    tick: int = 0
-    token: int = 0
+    epoch: int = 1
+    sequence: int = 0
+    fencing_token: int = 0
     answered: float = 0.0  # sending time of the last answered report
-    notice_s: float | None = None
+    reclaim_notice_s: float | None = None
     tasks: dict[tuple[str, int], Attempt] = field(default_factory=dict)
     ever: set[tuple[str, int]] = field(default_factory=set)
     last_answer: dict[str, float] = field(default_factory=dict)  # node -> when it answered last
     at: str = ""  # the node that it reports to when it finds its own way
-    deaf: bool = False  # its reports arrive, no answer reaches it
+    deaf: bool = False  # its heartbeats arrive, no answer reaches it
     hung: bool = False  # it does nothing; what runs there goes on once it does
     mute: bool = False  # it reaches no controller, direct commands reach it
     fails: bool = False
     sick_with: str = "error"
     coming: tuple[float, tuple[int, bytes], float, int, str] | None = None  # an answer on its way, and when
 
-    def report(self) -> workers.Report:
-        self.tick += 1
+    def heartbeat(self) -> workers.Heartbeat:
+        self.sequence += 1
         states = [
-            workers.TaskState(part=a.part, attempt=a.number, phase=a.phase, why=a.why, saved=a.saved)
+            workers.TaskState(
+                task_id=a.task_id,
+                attempt=a.number,
+                phase=a.phase,
+                reason=a.reason,
+                checkpointed=a.checkpointed,
+            )
             for a in self.tasks.values()
         ]
-        return workers.Report(
-            machine=self.name, address=f"{self.name}:9", type=self.kind.name, zone=self.zone, spot=self.spot,
-            session=self.session, tick=self.tick, token=self.token, tasks=states, notice_s=self.notice_s,
-        )  # fmt: skip
+        return workers.Heartbeat(
+            machine=self.name,
+            address=f"{self.name}:9",
+            type=self.kind.name,
+            zone=self.zone,
+            spot=self.spot,
+            epoch=self.epoch,
+            sequence=self.sequence,
+            fencing_token=self.fencing_token,
+            tasks=states,
+            reclaim_notice_s=self.reclaim_notice_s,
+        )
 
     def check_lease(self) -> None:
         if not self.hung and self.world.clock.now - self.answered > self.world.lease_s:
             self.tasks.clear()
-            self.session += 1
+            self.epoch += 1
             self.answered = self.world.clock.now
 
-    def take(self, answer: tuple[int, bytes], sent: float, session: int, node: str = "") -> int:
+    def take(self, answer: tuple[int, bytes], sent: float, epoch: int, node: str = "") -> int:
         """Take a response in, as PROTOCOL says; returns its status."""
         status, body = answer[0], answer[1]
         if status != 200:
             return status
         got = orjson.loads(body)
-        if session != self.session or got["baton"] < self.token:
+        if epoch != self.epoch or got["baton"] < self.fencing_token:
             return 0
-        self.token = got["baton"]
+        self.fencing_token = got["baton"]
         self.answered = max(self.answered, sent)
         self.last_answer[node] = self.world.clock.now
         for order in got["orders"]:
@@ -337,35 +351,35 @@
             spec = self.world.specs.get(job_id)
             attempt = Attempt(order["part"], order["try"], "running")
             self.tasks[key] = attempt
-            busy = [a for a in self.tasks.values() if a.part == order["part"] and a.phase != "ended"]
+            busy = [a for a in self.tasks.values() if a.task_id == order["part"] and a.phase != "ended"]
             used = sum(
-                self.world.specs[a.part.split("/")[0]].cpus
+                self.world.specs[a.task_id.split("/")[0]].cpus
                 for a in self.tasks.values()
                 if a.phase != "ended" and a is not attempt
             )
             if spec is None:
-                attempt.phase, attempt.why = "ended", "unknown"
+                attempt.phase, attempt.reason = "ended", "unknown"
             elif len(busy) > 1:
-                attempt.phase, attempt.why = "ended", "busy"
+                attempt.phase, attempt.reason = "ended", "busy"
             elif used + spec.cpus > self.kind.cpus + 1e-6:
-                attempt.phase, attempt.why = "ended", "full"
+                attempt.phase, attempt.reason = "ended", "full"
             elif self.fails:
-                attempt.phase, attempt.why = "ended", self.sick_with
+                attempt.phase, attempt.reason = "ended", self.sick_with
             else:
                 self.world.started(self, job_id, number)
         elif order["verb"] == "halt":
             if have is not None and have.phase != "ended":
-                have.phase, have.why = "ended", "halted"
+                have.phase, have.reason = "ended", "halted"
         elif have is not None and have.phase == "ended":
             del self.tasks[key]
 
-    def finish(self, part: str, why: str = "done") -> None:
+    def finish(self, task_id: str, reason: str = "done") -> None:
         for attempt in self.tasks.values():
-            if attempt.part == part and attempt.phase != "ended":
-                attempt.phase, attempt.why = "ended", why
+            if attempt.task_id == task_id and attempt.phase != "ended":
+                attempt.phase, attempt.reason = "ended", reason
 
     def running(self) -> list[str]:
-        return [a.part for a in self.tasks.values() if a.phase != "ended"]
+        return [a.task_id for a in self.tasks.values() if a.phase != "ended"]
 
 
 class World:
@@ -397,7 +411,7 @@
         self.old = set(old)
         self.workers: dict[str, Worker] = {}
         self.specs: dict[str, Any] = {}
-        self.rented = 0
+        self.launched_at = 0
         self.requests: dict[str, list[str]] = {}
         self.capacity = 100
         self.cloud_down = False
@@ -414,11 +428,11 @@
         self.incarnations = 0
         self.cut: set[tuple[str, str]] = set()  # (worker, node) pairs that can't talk
         self.under_way: float | None = None  # since when the answer that a worker now executes was
-        self.slow_s = 0.0  # how long answers to reports take
+        self.slow_s = 0.0  # how long answers to heartbeats take
         self.late_starts: list[str] = []  # begun by answers that were on their way at the cancellation
         self.frozen: set[str] = set()  # nodes that stand still while their clocks run on
         self.mesh_cut: set[str] = set()  # nodes that the other controllers don't reach
-        self.sent: list[workers.Report] = []  # copies of reports, to come once more, late
+        self.sent: list[workers.Heartbeat] = []  # copies of heartbeats, to come once more, late
         self.nodes: dict[str, Controller] = {}
         self.names = [f"n{n}" for n in range(nodes)]
         for name in self.names:
@@ -448,13 +462,13 @@
         self.incarnations += 1
         settings = self.settings(name)
         policy = policy or self.policy
-        engine = Engine(settings, policy, self.clock, self.clock.wall, random.Random(7))
+        scheduler = Scheduler(settings, policy, self.clock, self.clock.wall, random.Random(7))
         node: Controller
 
         def pause(event: Any, seconds: float) -> None:
             # Threads of the real thing would run meanwhile: the group commit, and the one that reads.
             try:
-                if node.engine.owner:
+                if node.scheduler.leader:
                     node.commit_once()
                     node.verify_once()
             except (UnavailableError, OutcomeUnknownError, LeaseGoneError):
@@ -475,7 +489,9 @@
                 if not meets(other):
                     return False
                 if other not in self.old:
-                    self.nodes[other].hear_cancelled(mesh.decode_cancelled(mesh.encode_cancelled(cancelled)))
+                    self.nodes[other].on_cancellations(
+                        mesh.decode_cancelled(mesh.encode_cancelled(cancelled))
+                    )
                 return True
 
             return notify
@@ -483,19 +499,27 @@
         others = [other for other in self.names if other != name]
         peers = {other: asker(other) for other in others}
         node = Controller(
-            settings, engine, StateOf(self.state, name), self, f"i{self.incarnations}", peers,
+            settings,
+            scheduler,
+            StateOf(self.state, name),
+            self,
+            f"i{self.incarnations}",
+            peers,
             {other: notifier(other) for other in others},
             lambda address, body: self.command(name, address, body),
-            clock=self.clock, wall=self.clock.wall, pause=pause, threaded=False,
+            clock=self.clock,
+            wall=self.clock.wall,
+            pause=pause,
+            threaded=False,
             release=1 if name in self.old else mesh.RELEASE,
-        )  # fmt: skip
-        engine.set_types(self.catalog())
+        )
+        scheduler.set_types(self.catalog())
         self.nodes[name] = node
         self.join(name)
         return node
 
     def join(self, name: str) -> None:
-        self.try_(lambda: self.nodes[name].mirror.pull(0.0))
+        self.try_(lambda: self.nodes[name].watch_cache.pull(0.0))
         self.try_(lambda: self.nodes[name]._member_step())
 
     @staticmethod
@@ -513,84 +537,84 @@
             self.clock.now = min(end, self.clock.now + 0.5)
             for name, node in self.nodes.items():
                 if name not in self.frozen:
-                    node.stalls.resumed_at()
+                    node.stall_detector.resumed_at()
 
     def step_node(self, name: str) -> None:
         """What the threads of one controller do in a while."""
         if name in self.frozen:
             return
         node = self.nodes[name]
-        self.try_(lambda: node.mirror.pull(0.0))
+        self.try_(lambda: node.watch_cache.pull(0.0))
         self.try_(node._member_step)
         self.try_(node._peer_step)
         node.notices.send()
         self.try_(node.admission_once)
-        if node.engine.owner:
-            node.engine.round()
+        if node.scheduler.leader:
+            node.scheduler.round()
             for _ in range(3):
                 self.try_(node.commit_once)
             node.verify_once()
-        while not node._halts.empty():
+        while not node._stop_queue.empty():
             node._command_step()
 
     def fleet(self, name: str) -> None:
         """What the cloud threads of one controller do in a while."""
         node = self.nodes[name]
-        if not node.engine.owner or name in self.frozen:
+        if not node.scheduler.leader or name in self.frozen:
             return
-        self.try_(node.cloud_calls.list_step)
-        step = node.fleet_once()
-        for rental in step.rentals:
-            node.cloud_calls.rent(rental)
+        self.try_(node.cloud_operations.list_step)
+        step = node.scaling_once()
+        for launch in step.launches:
+            node.cloud_operations.launch(launch)
         if step.deletions:
-            node.cloud_calls.delete([deletion.machine for deletion in step.deletions])
-        if node.engine.policy.recovery:
-            self.try_(node.watch_zones)
+            node.cloud_operations.delete([deletion.machine for deletion in step.deletions])
+        if node.scheduler.policy.recovery:
+            self.try_(node.monitor_zones)
 
     def step(self, seconds: float = 0.5) -> None:
-        """Some time passes: every controller steps, every worker reports to the owner."""
+        """Some time passes: every controller steps, every worker reports to the leader."""
         self.pass_time(seconds)
         self.state.expire()
         for name in list(self.nodes):
             self.step_node(name)
         for worker in list(self.workers.values()):
             worker.check_lease()
-            self.report(worker)
+            self.heartbeat(worker)
         for name in list(self.nodes):
             self.step_node(name)
         self.check()
 
-    def owner(self) -> str | None:
+    def leader(self) -> str | None:
         for name, node in self.nodes.items():
-            if node.engine.owner and name not in self.frozen:
+            if node.scheduler.leader and name not in self.frozen:
                 return name
         return None
 
-    def report(self, worker: Worker, node: str | None = None) -> int:
-        """The worker reports to a node, or to the owner."""
-        node = node or self.owner()
+    def heartbeat(self, worker: Worker, node: str | None = None) -> int:
+        """The worker reports to a node, or to the leader."""
+        node = node or self.leader()
         if node is None or not self.reaches(worker, node):
             return 0
-        if worker.coming is not None:  # one report in flight
-            due, arriving, at, session, by = worker.coming
+        if worker.coming is not None:  # one heartbeat in flight
+            due, arriving, at, epoch, by = worker.coming
             if self.clock.now < due:
                 return 0
             worker.coming = None
             if self.clock.now - at <= 4.0:
                 self.under_way = at
-                worker.take(arriving, at, session, by)
+                worker.take(arriving, at, epoch, by)
                 self.under_way = None
-        report = worker.report()
+        heartbeat = worker.heartbeat()
         sent = self.clock.now
         after = worker.last_answer.get(node, NEVER)
-        self.sent = self.sent[-200:] + [report]
-        answer = self.nodes[node].report(copy_of(report), after)
+        self.sent = self.sent[-200:] + [heartbeat]
+        answer = self.nodes[node].heartbeat(copy_of(heartbeat), after)
         if worker.name not in self.workers or worker.deaf:
             return 0
         if self.slow_s:
-            worker.coming = (sent + self.slow_s, answer, sent, report.session, node)
+            worker.coming = (sent + self.slow_s, answer, sent, heartbeat.epoch, node)
             return 0
-        status = worker.take(answer, sent, report.session, node)
+        status = worker.take(answer, sent, heartbeat.epoch, node)
         if status == 421:
             worker.at = orjson.loads(answer[1]).get("foreman", worker.at)
         return status
@@ -604,7 +628,7 @@
         """The worker reports where it last was answered or was sent to, else to the next node."""
         worker.check_lease()
         node = worker.at = worker.at or self.names[0]
-        status = self.report(worker, node)
+        status = self.heartbeat(worker, node)
         if status not in (200, 421) or (status == 421 and worker.at == node):
             worker.at = self.names[(self.names.index(node) + 1) % len(self.names)]
         return status
@@ -615,16 +639,16 @@
         if worker is None or worker.deaf or worker.hung or (worker.name, node) in self.cut:
             return None
         got = orjson.loads(body)
-        if got["baton"] >= worker.token and got["shift"] == worker.session:
-            worker.token = got["baton"]
+        if got["baton"] >= worker.fencing_token and got["shift"] == worker.epoch:
+            worker.fencing_token = got["baton"]
             for order in got["orders"]:
                 worker.obey(order)
-        return msgspec.json.encode(worker.report())
+        return msgspec.json.encode(worker.heartbeat())
 
-    def replay(self, report: workers.Report, node: str) -> None:
-        """A copy of an old report comes late, on a connection of its own; nobody reads the answer."""
+    def replay(self, heartbeat: workers.Heartbeat, node: str) -> None:
+        """A copy of an old heartbeat comes late, on a connection of its own; nobody reads the answer."""
         if node in self.nodes and node not in self.frozen:
-            self.nodes[node].report(copy_of(report), NEVER)
+            self.nodes[node].heartbeat(copy_of(heartbeat), NEVER)
 
     # -- users -----------------------------------------------------------------------------------------
 
@@ -635,11 +659,27 @@
 
     def job(self, number: int, **fields: Any) -> bytes:
         body = {
-            "id": f"req-{number:06d}", "lane": "sweep", "crew": "red", "shape": "batch", "rank": "normal",
-            "parts": 2, "cpus": 1.0, "cards": 0.0, "mem_gb": 1.0, "bundle": "img-1", "size_gb": 1.0,
-            "builds": None, "yard": None, "together": False, "apart": False, "loaners": True,
-            "guess_s": 20.0, "bookmark_s": 0.0, "stash_s": 0.0, "due_s": None,
-        }  # fmt: skip
+            "id": f"req-{number:06d}",
+            "lane": "sweep",
+            "crew": "red",
+            "shape": "batch",
+            "rank": "normal",
+            "parts": 2,
+            "cpus": 1.0,
+            "cards": 0.0,
+            "mem_gb": 1.0,
+            "bundle": "img-1",
+            "size_gb": 1.0,
+            "builds": None,
+            "yard": None,
+            "together": False,
+            "apart": False,
+            "loaners": True,
+            "guess_s": 20.0,
+            "bookmark_s": 0.0,
+            "stash_s": 0.0,
+            "due_s": None,
+        }
         body.update(fields)
         return orjson.dumps(body)
 
@@ -701,38 +741,40 @@
 
     def started(self, worker: Worker, job_id: str, task: int) -> None:
         """Called at every start: ran_twice, wrong_place, ran_cancelled."""
-        part = f"{job_id}/{task}"
+        task_id = f"{job_id}/{task}"
         spec = self.specs[job_id]
-        for other in self.starters.setdefault(part, []):
+        for other in self.starters.setdefault(task_id, []):
             if other is not worker and self.workers.get(other.name) is other:
-                assert part not in other.running(), f"ran_twice: {part} on {worker.name} and {other.name}"
-        self.starters[part].append(worker)
-        assert spec.spot or not worker.spot, f"wrong_place: {part} on a spot machine"
-        assert spec.types is None or worker.kind.name in spec.types, f"wrong_place: {part} type"
-        assert spec.zone is None or spec.zone == worker.zone, f"wrong_place: {part} zone"
+                assert task_id not in other.running(), (
+                    f"ran_twice: {task_id} on {worker.name} and {other.name}"
+                )
+        self.starters[task_id].append(worker)
+        assert spec.spot or not worker.spot, f"wrong_place: {task_id} on a spot machine"
+        assert spec.types is None or worker.kind.name in spec.types, f"wrong_place: {task_id} type"
+        assert spec.zone is None or spec.zone == worker.zone, f"wrong_place: {task_id} zone"
         zones = []
         if spec.one_zone or spec.spread:
             zones = [w.zone for w in self.workers.values() for p in w.running() if p.split("/")[0] == job_id]
         if spec.one_zone:
-            assert len(set(zones)) <= 1, f"wrong_place: {part} not together"
+            assert len(set(zones)) <= 1, f"wrong_place: {task_id} not together"
         if spec.spread:
-            assert zones.count(worker.zone) <= (spec.tasks + 1) // 2, f"wrong_place: {part} not apart"
+            assert zones.count(worker.zone) <= (spec.tasks + 1) // 2, f"wrong_place: {task_id} not apart"
         if job_id in self.cancelled:
             # Only an answer that is on its way when the cancellation is confirmed may still start a task.
             known = self.under_way is None or self.under_way > self.cancelled[job_id]
-            assert not known, f"{part} started by an answer from after its confirmed cancellation"
-            self.late_starts.append(part)
+            assert not known, f"{task_id} started by an answer from after its confirmed cancellation"
+            self.late_starts.append(task_id)
 
     def check(self) -> None:
         """The rules that hold at every moment."""
         used: dict[str, float] = {}
         for worker in self.workers.values():
-            for part in worker.running():
-                spec = self.specs[part.split("/")[0]]
+            for task_id in worker.running():
+                spec = self.specs[task_id.split("/")[0]]
                 used[spec.team] = used.get(spec.team, 0.0) + spec.cpus
                 if spec.id in self.cancelled:
                     late = self.clock.now - self.cancelled[spec.id]
-                    assert late <= self.cancel_s, f"ran_cancelled: {part} {late} s after"
+                    assert late <= self.cancel_s, f"ran_cancelled: {task_id} {late} s after"
         for team, cpus in used.items():
             assert cpus <= LIMITS[team] + 1e-6, f"quota: {team} uses {cpus}"
 
@@ -741,11 +783,11 @@
         used: dict[str, float] = {}
         free = {name: worker.kind.cpus for name, worker in self.workers.items()}
         for name, worker in self.workers.items():
-            for part in worker.running():
-                spec = self.specs[part.split("/")[0]]
+            for task_id in worker.running():
+                spec = self.specs[task_id.split("/")[0]]
                 used[spec.team] = used.get(spec.team, 0.0) + spec.cpus
                 free[name] -= spec.cpus
-        placed = {part for worker in self.workers.values() for part in worker.running()}
+        placed = {task_id for worker in self.workers.values() for task_id in worker.running()}
         out = []
         for job_id in sorted(self.accepted):
             spec = self.specs[job_id]
@@ -759,9 +801,11 @@
                 and (spec.spot or not worker.spot)
                 and spec.zone in (None, worker.zone)
                 and (spec.types is None or worker.kind.name in spec.types)
-                and not worker.deaf and not worker.hung and not worker.mute
+                and not worker.deaf
+                and not worker.hung
+                and not worker.mute
                 for name, worker in self.workers.items()
-            )  # fmt: skip
+            )
             if fits and used.get(spec.team, 0.0) + spec.cpus <= LIMITS[spec.team]:
                 out.append(job_id)
         return out
@@ -771,7 +815,7 @@
     def catalog(self) -> list[MachineType]:
         return [SMALL, CARDS]
 
-    def rent(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
+    def launch(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
         if self.cloud_down:
             raise CloudBusyError("503")
         if request in self.requests:
@@ -785,8 +829,8 @@
         return names
 
     def machine(self, kind: str = "small", zone: str = "north", spot: bool = True) -> Worker:
-        self.rented += 1
-        name = f"vm-{self.rented:06d}"
+        self.launched_at += 1
+        name = f"vm-{self.launched_at:06d}"
         found = SMALL if kind == "small" else CARDS
         worker = Worker(self, name, found, zone, spot, answered=self.clock.now)
         self.workers[name] = worker
@@ -817,9 +861,9 @@
         ]
         return MachinePage(listed[:LIST_PAGE], len(listed) > LIST_PAGE)
 
-    def finish(self, part: str) -> None:
+    def finish(self, task_id: str) -> None:
         """The task completes wherever it runs."""
         for worker in self.workers.values():
-            if part in worker.running():
-                worker.finish(part)
-                self.done_tasks.add(part)
+            if task_id in worker.running():
+                worker.finish(task_id)
+                self.done_tasks.add(task_id)
--- a/tools/deadline_bound.py
+++ b/tools/deadline_bound.py
@@ -93,7 +93,7 @@
 
 
 def draw_capacity(rng: random.Random, site: dict[str, Any]) -> Capacity:
-    """All machines that the cloud has, rented at once; those of `machines` are up from the start."""
+    """All machines that the cloud has, launched at once; those of `machines` are up from the start."""
     types = {kind["name"]: kind for kind in site["machine_types"]}
     up_at: list[tuple[float, float]] = []
     for row in site["capacity"]:
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -4,7 +4,7 @@
     python3 tools/flood_trial.py --times 1 3 10 --seconds 60 --seeds 1 2 --admission off on --ends
 
 Three real controllers, stand-in workers, cloud and state service in real time. `--times`: submissions beside
-what the site serves; most are sweeps of one team, urgent builds keep their rate. `--ends`: the owner and
+what the site serves; most are sweeps of one team, urgent builds keep their rate. `--ends`: the leader and
 another controller are killed in the flood and come back. Not for CI.
 """
 
@@ -61,10 +61,10 @@
 
 
 def end_controllers(site: Site, seconds: float) -> None:
-    """The owner and another end after a third of the time, and come back after 3 s."""
+    """The leader and another end after a third of the time, and come back after 3 s."""
     time.sleep(seconds / 3)
-    owner = site.owner() or "n0"
-    ended = [owner, next(name for name in site.controllers.fronts if name != owner)]
+    leader = site.leader() or "n0"
+    ended = [leader, next(name for name in site.controllers.fronts if name != leader)]
     for name in ended:
         site.controllers.kill(name)
     time.sleep(3.0)
@@ -82,24 +82,24 @@
 
 def class_line(site: Site, job_class: str, submissions: list[Submission]) -> str:
     """What became of one class."""
-    mine = [s for s in submissions if s.job["lane"] == job_class]
+    own = [s for s in submissions if s.job["lane"] == job_class]
     begun: dict[str, float] = {}
     done = set()
     for event in list(site.fleet.history):
-        name = event.part.partition("/")[0]
+        name = event.task_id.partition("/")[0]
         if event.what == "running":
             begun.setdefault(name, event.at)
         elif event.what == "done":
             done.add(name)
-    waits = [begun[s.job["id"]] - s.first_at for s in mine if s.job["id"] in begun]
-    after = [begun[s.job["id"]] - s.accepted_at for s in mine if s.job["id"] in begun and s.accepted_at]
-    statuses = [answer.status for s in mine for answer in s.answers]
-    accepted = [s for s in mine if s.accepted_at is not None]
-    ended = sum(s.job["id"] in done for s in mine)
+    waits = [begun[s.job["id"]] - s.first_at for s in own if s.job["id"] in begun]
+    after = [begun[s.job["id"]] - s.accepted_at for s in own if s.job["id"] in begun and s.accepted_at]
+    statuses = [answer.status for s in own for answer in s.answers]
+    accepted = [s for s in own if s.accepted_at is not None]
+    ended = sum(s.job["id"] in done for s in own)
     return (
-        f"  {job_class:15} {len(mine):7d} {len(accepted):8d} "
-        f"{statuses.count(429):7d} {statuses.count(503):6d} {len(mine) - len(accepted):8d} {ended:6d}  "
-        f"{percentiles(waits)}   {percentiles(after)}"
+        f"  {job_class:15} {len(own):7d} {len(accepted):8d} "
+        f"{statuses.count(429):7d} {statuses.count(503):6d} {len(own) - len(accepted):8d} {ended:6d}"
+        f"    {percentiles(waits)}   {percentiles(after)}"
     )
 
 
@@ -126,8 +126,10 @@
         passed = time.monotonic() - began
         print(
             f"\r{passed:4.0f} of {seconds:.0f} s: {len(users.submissions)} submitted, {accepted} accepted",
-            end="", file=sys.stderr, flush=True,
-        )  # fmt: skip
+            end="",
+            file=sys.stderr,
+            flush=True,
+        )
     print("\r" + " " * 70 + "\r", end="", file=sys.stderr, flush=True)
 
 
@@ -139,7 +141,7 @@
     with Site(folder, script, MACHINES, teams=TEAMS, state=state) as site:
         for n in range(MACHINES):
             site.fleet.begin(KIND, "north" if n % 2 else "south", True)
-        await_state(lambda: site.owner() is not None, "an owner")
+        await_state(lambda: site.leader() is not None, "an owner")
         time.sleep(2.0)
         users = Users(site, seed)
         over = threading.Event()
--- a/tools/owner_cost.py
+++ b/tools/leader_cost.py
@@ -1,8 +1,8 @@
-"""What an owner's decisions cost by the size of the fleet: processor time and memory, in memory alone.
+"""What a leader's decisions cost by the size of the fleet: processor time and memory, in memory alone.
 
     python3 tools/owner_cost.py [--machines 48 500 4000] [--seed 1] [--spread]
 
-Builds the engine of one controller with that many simulated machines of four CPUs, without sockets and
+Builds the scheduler of one controller with that many simulated machines of four CPUs, without sockets and
 threads, and runs it through a start, a full fleet with a backlog, and a fleet of which one machine in twenty
 has room. Each size runs in a process of its own. Figures are processor time of this machine, not simulated.
 """
@@ -19,13 +19,13 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bayford.config import Settings, parse  # noqa: E402
-from bayford.coordination.leader.scheduler import Engine  # noqa: E402
+from bayford.coordination.leader.scheduler import Scheduler  # noqa: E402
 from bayford.protocol import workers  # noqa: E402
 from bayford.protocol.cloud_api import Listed  # noqa: E402
 from bayford.scheduling.model import PRIORITIES, JobSpec, MachineType  # noqa: E402
 from bayford.scheduling.policy import Policy  # noqa: E402
 from bayford.storage import records  # noqa: E402
-from bayford.storage.task_log import Ledger  # noqa: E402
+from bayford.storage.task_log import TaskLog  # noqa: E402
 
 CPUS = 4.0
 TYPE = MachineType("four", CPUS, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"), 40.0)
@@ -60,76 +60,92 @@
 
 
 class SimulatedFleet:
-    """An engine that owns `count` machines, and the ledger that it writes."""
+    """An engine that owns `count` machines, and the task log that it writes."""
 
     def __init__(self, count: int, seed: int, policy: Policy) -> None:
         self.now = 1000.0
         settings: Settings = parse(SETTINGS)
-        self.engine = Engine(settings, policy, lambda: self.now, lambda: self.now, random.Random(seed))
-        self.ledger = Ledger(settings_bytes())
-        self.engine.state.with_ledger = lambda call: call(self.ledger)
+        self.scheduler = Scheduler(settings, policy, lambda: self.now, lambda: self.now, random.Random(seed))
+        self.task_log = TaskLog(settings_bytes())
+        self.scheduler.state.with_task_log = lambda call: call(self.task_log)
         self.rng = random.Random(seed)
-        self.stamp = 1
+        self.version = 1
         self.jobs = 0
         self.ticks = dict.fromkeys((f"vm-{n:06d}" for n in range(count)), 0)
-        self.engine.set_types([TYPE])
-        self.engine.adopt([], term=1, token=1, as_of=self.now)
-        self.engine.on_list([self._listed(n, name) for n, name in enumerate(self.ticks)], self.now)
+        self.scheduler.set_types([TYPE])
+        self.scheduler.recover([], term=1, fencing_token=1, as_of=self.now)
+        self.scheduler.on_list([self._listed(n, name) for n, name in enumerate(self.ticks)], self.now)
         for name in self.ticks:
-            self.report(name)
+            self.heartbeat(name)
 
     def _listed(self, n: int, name: str) -> Listed:
         return Listed(name, "10.0.0.1:9", TYPE.name, TYPE.zones[n % 2], True, "running", 30.0)
 
-    def report(self, name: str) -> None:
-        """One report of a machine on which all that was placed there runs, and its answer."""
-        engine = self.engine
+    def heartbeat(self, name: str) -> None:
+        """One heartbeat of a machine on which all that was placed there runs, and its answer."""
+        scheduler = self.scheduler
         self.ticks[name] += 1
-        machine = engine.state.machines.get(engine.state.machines_by.index(name))
-        places = list(machine.open.values()) if machine is not None else []
-        states = [workers.TaskState(p.part, p.attempt, workers.RUNNING) for p in places if p.durable]
+        machine = scheduler.state.machines.get(scheduler.state.machine_names.index(name))
+        placements = list(machine.open.values()) if machine is not None else []
+        states = [workers.TaskState(p.task_id, p.attempt, workers.RUNNING) for p in placements if p.durable]
         zone = TYPE.zones[int(name[3:]) % 2]
-        report = workers.Report(
+        heartbeat = workers.Heartbeat(
             name, "10.0.0.1:9", TYPE.name, zone, True, 1, self.ticks[name], 1, states
-        )  # fmt: skip
-        index = engine.on_report(report, self.now)
+        )
+        index = scheduler.on_heartbeat(heartbeat, self.now)
         assert index is not None, f"the report of {name} was not taken in"
-        engine.hold_s(index)
-        orders, _ = engine.orders_for(index, self.now)
-        engine.answered(index, report, orders)
+        scheduler.hold_s(index)
+        commands, _ = scheduler.commands_for(index, self.now)
+        scheduler.on_answered(index, heartbeat, commands)
 
     def report_all(self, names: list[str]) -> None:
-        """A report of each of these machines."""
+        """A heartbeat of each of these machines."""
         for name in names:
-            self.report(name)
+            self.heartbeat(name)
 
     def submit(self, tasks: int, priority: str = "normal", cpus: float = 1.0, images: int = 40) -> None:
         """A job of that many tasks, its image one of `images`."""
         self.jobs += 1
-        self.stamp += 1
+        self.version += 1
         spec = JobSpec(
-            f"req-{self.jobs:06d}", f"class-{priority}", "open", PRIORITIES.index(priority), tasks, cpus, 0.0,
-            2.0, f"img-{self.rng.randrange(images)}", 1.0, None, None, False, False, True, 300.0, 0.0, 0.0,
+            f"req-{self.jobs:06d}",
+            f"class-{priority}",
+            "open",
+            PRIORITIES.index(priority),
+            tasks,
+            cpus,
+            0.0,
+            2.0,
+            f"img-{self.rng.randrange(images)}",
+            1.0,
             None,
-        )  # fmt: skip
-        self.engine.on_row(records.Record(spec, self.now), self.stamp)
+            None,
+            False,
+            False,
+            True,
+            300.0,
+            0.0,
+            0.0,
+            None,
+        )
+        self.scheduler.reconcile_job(records.Record(spec, self.now), self.version)
 
-    def commit(self) -> int:
+    def compare_and_swap(self) -> int:
         """Write all that has changed; how many transactions that took."""
         count = 0
-        while (batch := self.engine.take_batch(TXN_OPS)) is not None:
-            self.stamp += 1
+        while (batch := self.scheduler.take_batch(TXN_OPS)) is not None:
+            self.version += 1
             for put in batch.puts:
                 if put.key.startswith(records.LOG):
-                    self.ledger.take(put.key, self.stamp, put.value)
-            self.engine.committed(batch)
+                    self.task_log.apply_row(put.key, self.version, put.value)
+            self.scheduler.committed(batch)
             count += 1
         return count
 
     def round(self) -> None:
         """One scheduling round, some time after the one before."""
         self.now += ROUND_S
-        self.engine.round()
+        self.scheduler.round()
 
 
 def settings_bytes() -> int:
@@ -166,13 +182,13 @@
     for _ in range(20):
         fleet.submit(min(40, whole // 24))
     start_ms = milliseconds(fleet.round, 1)
-    while sum(len(m.open) for m in fleet.engine.state.machines.values()) < whole:
+    while sum(len(m.open) for m in fleet.scheduler.state.machines.values()) < whole:
         fleet.submit(200)
         fleet.round()
-    transactions = fleet.commit()
+    transactions = fleet.compare_and_swap()
     names = list(fleet.ticks)
     for name in names:
-        fleet.report(name)
+        fleet.heartbeat(name)
     report_us = milliseconds(lambda: fleet.report_all(names), 3) / count * 1e3
     for _ in range(10):
         fleet.submit(40)
@@ -180,8 +196,8 @@
     for _ in range(10):
         fleet.submit(40, "urgent")
     urgent_ms = milliseconds(fleet.round, 9, max)  # victims are not looked for in every round
-    fleet_ms = milliseconds(lambda: fleet.engine.fleet_step(fleet.now), 5)
-    rows = len(fleet.ledger.window)
+    fleet_ms = milliseconds(lambda: fleet.scheduler.scaling_step(fleet.now), 5)
+    rows = len(fleet.task_log.window)
     return (
         f"{count:6d} {start_ms:9.1f} {full_ms:9.2f} {urgent_ms:9.2f} {report_us:10.0f} {fleet_ms:9.2f} "
         f"{memory_mb() - before:8.1f} {transactions:7d} {rows:6d} {min(first, whole):7d}"
--- a/tools/spread_trial.py
+++ b/tools/spread_trial.py
@@ -39,10 +39,19 @@
         for _ in range(FIRST):
             site.fleet.begin(KIND, "north", True)
         mirrors = [
-            job(500 + n, f"mirror-{n}", 10, "mirror-trickle", rank="idle", bookmark_s=2.0, stash_s=0.5,
-                size_gb=IMAGE_GB, guess_s=120.0)
+            job(
+                500 + n,
+                f"mirror-{n}",
+                10,
+                "mirror-trickle",
+                rank="idle",
+                bookmark_s=2.0,
+                stash_s=0.5,
+                size_gb=IMAGE_GB,
+                guess_s=120.0,
+            )
             for n in range(4)
-        ]  # fmt: skip
+        ]
         for each in mirrors:
             site.submit(each, run_s=60.0)
         await_state(lambda: max(site.fleet.loads().values()) == 1.0, "mirror jobs run")
@@ -66,10 +75,10 @@
                 highest.append(max(loads) / average)
             for event in list(site.fleet.history):
                 if event.what == "running":
-                    begun.setdefault(event.part, time.monotonic())
+                    begun.setdefault(event.task_id, time.monotonic())
             time.sleep(0.1)
         waits = [at - submitted[part[:10]] for part, at in begun.items() if part[:10] in submitted]
-        moved = [e.part for e in site.fleet.history if e.what == "halted"]
+        moved = [e.task_id for e in site.fleet.history if e.what == "halted"]
         fetches = len(site.fleet.fetches)
         return (
             f"{statistics.mean(highest):9.2f} {max(highest):8.2f} {statistics.mean(waits):9.2f} "
--- a/tools/crosscheck.py
+++ b/tools/task_log_crosscheck.py
@@ -1,11 +1,11 @@
-"""Play the ledger of the version in production against this one's, outside CI: it needs the history.
+"""Play the task log of the version in production against this one's, outside CI: it needs the history.
 
     python tools/crosscheck.py [--rounds N] [--seed N]
 
-`deploy/service.toml` names the commit in production; its `storage/ledger.py` is read from the history and run
-as it is. Both versions then write rows into one log in turn, as owners of an upgrade do, the old one in rows
-of the present limit and the new one in rows of the limit to come. Every reader of both must add all rows up
-to the same state, also one that begins anew, and find the same slots free.
+`deploy/service.toml` names the commit in production; its `storage/task log.py` is read from the history and
+run as it is. Both versions then write rows into one log in turn, as leaders of an upgrade do, the old one in
+rows of the present limit and the new one in rows of the limit to come. Every reader of both must add all rows
+up to the same state, also one that begins anew, and find the same slots free.
 """
 
 import argparse
@@ -27,12 +27,25 @@
 from bayford.storage import records  # noqa: E402
 from bayford.storage import task_log as new  # noqa: E402
 
-# What production's ledger imports and what is called otherwise by now.
+# What production's task log imports and what is called otherwise by now.
 OLD_NAMES = {"Unreadable": records.UnreadableError}
 
+# Names of today, and what production's module calls the same thing.
+CLASSES = {"TaskLog": "Ledger", "RowBuilder": "RowMaker"}
+TASK_LOG_METHODS = {"apply_row": "take", "reclaimable_tail": "dead_before", "next_slots": "slots"}
+ROW_BUILDER_METHODS = {
+    "has_space": "room",
+    "add_open": "opened",
+    "add_done": "done",
+    "add_closed": "closed",
+    "add_over": "over",
+    "add_snapshots": "snapshots",
+    "build": "finish",
+}
+
 
 def production() -> ModuleType:
-    """The ledger of the version in production."""
+    """The task log of the version in production."""
     commit = tomllib.loads((HERE / "deploy" / "service.toml").read_text())["production"]
     shown = ["git", "show", f"{commit}:bayford/storage/ledger.py"]
     text = subprocess.run(shown, cwd=HERE, check=True, capture_output=True, text=True).stdout
@@ -46,33 +59,39 @@
         for name, now in OLD_NAMES.items():
             setattr(records, name, now)
         spec.loader.exec_module(module)
+    for name, old_name in CLASSES.items():
+        setattr(module, name, getattr(module, old_name))
+    for name, old_name in TASK_LOG_METHODS.items():
+        setattr(module.TaskLog, name, getattr(module.TaskLog, old_name))
+    for name, old_name in ROW_BUILDER_METHODS.items():
+        setattr(module.RowBuilder, name, getattr(module.RowBuilder, old_name))
     return module
 
 
-def state(ledger: Any) -> dict[str, Any]:
-    """What a ledger holds, empty jobs left out."""
+def state(task_log: Any) -> dict[str, Any]:
+    """What a task log holds, empty jobs left out."""
     out = {}
-    for job, progress in ledger.jobs.items():
+    for job, progress in task_log.jobs.items():
         if progress.open or progress.done:
             out[job] = (dict(progress.open), set(progress.done))
     return out
 
 
-def slots(ledger: Any) -> Any:
+def slots(task_log: Any) -> Any:
     """Where the next rows go, and what has to be read."""
-    return ledger.next, ledger.tail, ledger.slots(3)
+    return task_log.next, task_log.tail, task_log.next_slots(3)
 
 
 def random_changes(
-    rng: random.Random, ledger: Any, maker: Any, attempt: int
+    rng: random.Random, task_log: Any, maker: Any, attempt: int
 ) -> tuple[dict[str, list[int]], int]:
     """Write some changes into a row: the tasks that they concern, and the last attempt."""
     changing: dict[str, list[int]] = {}
     for _ in range(rng.randint(1, 30)):
         job, task = f"req-{rng.randrange(9):06d}", rng.randrange(300)
         machine = f"vm-{rng.randrange(400):06d}"
-        progress = ledger.jobs.get(job)
-        if not maker.room(job, machine) or task in changing.get(job, ()):
+        progress = task_log.jobs.get(job)
+        if not maker.has_space(job, machine) or task in changing.get(job, ()):
             continue
         if progress is not None and task in progress.done:
             continue
@@ -80,11 +99,11 @@
         kind = rng.random()
         if kind < 0.55:
             attempt += 1
-            maker.opened(job, task, attempt, machine, 1)
+            maker.add_open(job, task, attempt, machine, 1)
         elif kind < 0.85:
-            maker.done(job, task)
+            maker.add_done(job, task)
         else:
-            maker.closed(job, task)
+            maker.add_closed(job, task)
     return changing, attempt
 
 
@@ -99,37 +118,37 @@
     """One log of `rounds` rows by both versions in turn."""
     rng = random.Random(seed)
     old = production()
-    readers = [old.Ledger(layout), new.Ledger(layout)]
+    readers = [old.TaskLog(layout), new.TaskLog(layout)]
     stored: dict[str, tuple[int, Any]] = {}
-    attempt, stamp, longest = 1, 10, 0
+    attempt, version, longest = 1, 10, 0
     writer = 0
     for number in range(rounds):
         if rng.random() < 0.02:
             writer = 1 - writer
         if number > rounds * 2 // 3:
             writer = 1  # all are new now
-        ledger: Any = readers[writer]
+        task_log: Any = readers[writer]
         if writer == 0:
-            maker: Any = old.RowMaker(ledger, ledger.next, ledger.dead_before(), attempt + 40)
+            maker: Any = old.RowBuilder(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40)
         else:
-            maker = new.RowMaker(ledger, ledger.next, ledger.dead_before(), attempt + 40, short)
-        changing, attempt = random_changes(rng, ledger, maker, attempt)
-        if rng.random() < 0.02 and ledger.jobs:
-            job = rng.choice(sorted(ledger.jobs))
-            if job not in changing and maker.room(job):
-                maker.over(job)
+            maker = new.RowBuilder(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40, short)
+        changing, attempt = random_changes(rng, task_log, maker, attempt)
+        if rng.random() < 0.02 and task_log.jobs:
+            job = rng.choice(sorted(task_log.jobs))
+            if job not in changing and maker.has_space(job):
+                maker.add_over(job)
         if writer == 0:
-            maker.snapshots()
+            maker.add_snapshots()
         else:
-            maker.snapshots(changing)
-        slot, before = ledger.slots(1)[0]
-        assert stored.get(slot, (0, None))[0] == before, "the slot's stamp is known"
-        value = orjson.loads(orjson.dumps(maker.finish()))
+            maker.add_snapshots(changing)
+        slot, before = task_log.next_slots(1)[0]
+        assert stored.get(slot, (0, None))[0] == before, "the slot's version is known"
+        value = orjson.loads(orjson.dumps(maker.build()))
         assert len(orjson.dumps(value)) <= (layout if writer == 0 else short)
-        stamp += 1
-        stored[slot] = (stamp, value)
+        version += 1
+        stored[slot] = (version, value)
         for reader in readers:
-            reader.take(slot, stamp, value)
+            reader.apply_row(slot, version, value)
         longest = max(longest, len(stored))
         assert state(readers[0]) == state(readers[1]), f"row {number}: the versions differ"
         assert slots(readers[0]) == slots(readers[1]), f"row {number}: the slots differ"
@@ -137,7 +156,7 @@
             rows = [(slot, at, value) for slot, (at, value) in stored.items()]
             rng.shuffle(rows)
             for module in (old, new):
-                check_new_reader(module.Ledger(layout), rows, readers[0], number)
+                check_new_reader(module.TaskLog(layout), rows, readers[0], number)
     print(f"layout {layout}, rows of {short}: {rounds} rows, {longest} slots at the most, good")
 
 
--- a/tools/zone_trial.py
+++ b/tools/zone_trial.py
@@ -33,12 +33,12 @@
 def trial(script: str, machines: int, seed: int, folder: Path) -> str:
     """A line of figures for one run."""
     rng = random.Random(seed)
-    with Site(folder, script + KEEP_IDLE, machines // 2, lease_s=6.0) as site:  # nothing more to rent
+    with Site(folder, script + KEEP_IDLE, machines // 2, lease_s=6.0) as site:  # nothing more to launch
 
         def running(prefix: str) -> int:
             workers = list(site.fleet.workers.values())
             tasks = [a for w in workers if not w.controls.mute for a in list(w.tasks.values())]
-            return sum(a.phase == "running" and a.part.startswith(prefix) for a in tasks)
+            return sum(a.phase == "running" and a.task_id.startswith(prefix) for a in tasks)
 
         for n in range(machines):
             site.fleet.begin(KIND, "south" if n % 2 else "north", True)
