--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -21,6 +21,8 @@
 from bayford.coordination.leader.autoscaler import ScalingActions
 from bayford.coordination.leader.cloud_operations import CloudOperations
 from bayford.coordination.leader.commit_batch import CommitBatch
+from bayford.coordination.leader.leader_events import LeaderListener
+from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.leadership import transfer
 from bayford.coordination.leadership.membership import Membership
@@ -63,7 +65,12 @@
 COMMIT_GAP_S = 0.05  # between two transactions, that the next one carries more
 SETTLED_S = 4.0  # after its start, or an attempt, before a controller takes over from an older release
 ISOLATED_S = 4.0  # longer than a member's lease
-STORE_CLIENTS = ("task_log", "membership", "users", "reads")  # who asks the state service; see `CountingStore`
+STORE_CLIENTS = (
+    "task_log",
+    "membership",
+    "users",
+    "reads",
+)  # who asks the state service; see `CountingStore`
 ADMISSION_STEP_S = 0.5  # how often the leader looks whether a level is due
 OFF_S = 3600.0  # the step of a part that is turned off
 LOG_WAITING_S = 15.0  # how often the log says who waits and why
@@ -71,7 +78,7 @@
 SUMMARY_OLD_S = 180.0  # an older summary says nothing about the machines of now
 
 
-class Controller:
+class Controller(LeaderListener):
     """Wires store, cloud, watch cache, membership, relay and engine together."""
 
     def __init__(
@@ -183,25 +190,22 @@
         self._replaced_older_at = self._started_at
         self._transfer_tried_at = self._started_at
         self._listening = self._started_at  # since when workers' heartbeats have been taken without a break
-        scheduler.connect(
-            self.watch_cache.with_task_log,
-            self._on_ready,
-            self._on_stop_requested,
-            self._on_machine_deleted,
-            self._on_accepted,
-        )
+        scheduler.connect(self.watch_cache, self)
 
     # -- hooks -----------------------------------------------------------------------------------------
 
-    def _on_ready(self, machine: int) -> None:
+    def on_commands_ready(self, machine: int) -> None:
+        """See `LeaderListener`."""
         event = self._ready.get(machine)
         if event is not None:
             event.set()
 
-    def _on_machine_deleted(self, machine: int) -> None:
+    def on_machine_deleted(self, machine: int) -> None:
+        """See `LeaderListener`."""
         self._ready.pop(machine, None)
 
-    def _on_accepted(self, spec: JobSpec) -> None:
+    def on_job_accepted(self, spec: JobSpec) -> None:
+        """See `LeaderListener`."""
         if self._gate is not None:
             self._admission.note_accepted(self._gate.flow(spec), self.clock())
 
@@ -210,8 +214,9 @@
         classes = [*named, *self.scheduler.policy.extra_classes]
         return AdmissionGate(self.watch_cache, classes, self.limits.write_rps, self.clock)
 
-    def _on_stop_requested(self, machine: int) -> None:
-        self._on_ready(machine)
+    def on_stop_requested(self, machine: int) -> None:
+        """See `LeaderListener`."""
+        self.on_commands_ready(machine)
         try:
             self._stop_queue.put_nowait(machine)
         except queue.Full:
@@ -228,7 +233,7 @@
         self._verified.set()
         gated, self._gated = self._gated, set()
         for index in gated:
-            self._on_ready(index)
+            self.on_commands_ready(index)
 
     def _on_rows(self, rows: list[Row]) -> None:
         jobs_touched = False
@@ -414,10 +419,10 @@
         time could put records read before the first one's placements in place of what it has decided
         since."""
         view = self.membership.record
-        names_process = view.names_process(self.name, self.incarnation) and not self.membership.superseded
-        if self.scheduler.leader and not (names_process and self.scheduler.term == view.version):
+        leads = view.names_process(self.name, self.incarnation) and not self.membership.superseded
+        if self.scheduler.leader and not (leads and self.scheduler.term == view.version):
             self.scheduler.step_down()
-        if recover and names_process and not self.scheduler.leader:
+        if recover and leads and not self.scheduler.leader:
             # Every write that an older map allowed is in the watch cache after this: the leadership record's
             # own write came later than all of them, and none can come after it.
             self.watch_cache.pull(0.0)
@@ -437,14 +442,16 @@
                 row.key[len(records.ZONES) :]: row.value for row in self.watch_cache.rows_below(records.ZONES)
             }
             self.scheduler.recover(
-                self.watch_cache.open_jobs(),
-                attempt,
-                late,
-                view.version,
-                view.fencing_token,
-                as_of,
-                moves,
-                zones,
+                RecoveredState(
+                    jobs=self.watch_cache.open_jobs(),
+                    next_attempt=attempt,
+                    term=view.version,
+                    fencing_token=view.fencing_token,
+                    as_of=as_of,
+                    summarized_images=late,
+                    migration_counts=moves,
+                    zone_records=zones,
+                )
             )
             acquired, self._leadership_acquired = self._leadership_acquired, threading.Event()
             acquired.set()
--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -569,7 +569,7 @@
                     placement.job.requeue(placement.task)
                 self._state.seen.pop(machine.index, None)
                 self._state.capacity_index.remove(machine)
-                self._state.on_machine_deleted(machine.index)
+                self._state.events.on_machine_deleted(machine.index)
                 self._state.reclaim_pending.pop(machine.index, None)
 
     def not_deleted(self, names: Iterable[str]) -> None:
--- a/bayford/coordination/leader/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -36,7 +36,8 @@
                 or self._state.in_flight is not None
             ):
                 return None
-            self._state.in_flight = self._state.with_task_log(
+            assert self._state.task_log is not None, "the scheduler is connected before it leads"
+            self._state.in_flight = self._state.task_log.with_task_log(
                 lambda task_log: BatchMaker(self._state, task_log, ops).make()
             )
             return self._state.in_flight
@@ -55,9 +56,9 @@
             for name in batch.over:
                 self._state.drop_job(name)
             for index in wake:
-                self._state.on_ready(index)
+                self._state.events.on_commands_ready(index)
             for moves in batch.moves.values():
-                self._state.on_migrations_counted(moves)
+                self._state.events.on_migrations_counted(moves)
 
     def not_committed(self, batch: CommitBatch) -> None:
         """Refused, conflicting or unanswered: everything in it is to be written again.
--- a/bayford/coordination/leader/heartbeat_handler.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -215,7 +215,7 @@
         """A task has completed."""
         job = placement.job
         job.done.add(placement.task)
-        self._state.on_done(placement)
+        self._state.events.on_task_done(placement)
         self._state.use_image(machine, job, there=True)
         machine.completed_tasks += 1
         machine.failed_jobs.clear()
--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -7,14 +7,16 @@
 import math
 import random
 import threading
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from types import MappingProxyType
-from typing import Any, TypeVar
+from typing import Any, Protocol, TypeVar
 
 from bayford.clock import NEVER
 from bayford.config import Settings
 from bayford.coordination.leader import run_time_estimator
 from bayford.coordination.leader.commit_batch import CommitBatch, Migration
+from bayford.coordination.leader.leader_events import LeaderEvents
+from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.coordination.store_limits import StoreLimits
 from bayford.protocol import workers
 from bayford.scheduling import scaling
@@ -45,6 +47,13 @@
 T = TypeVar("T")
 
 
+class TaskLogSource(Protocol):
+    """Gives access to the task log as far as it has been read."""
+
+    def with_task_log(self, call: Callable[[TaskLog], T]) -> T:
+        """Run something short on the task log, which `call` must not keep."""
+
+
 class LeaderState:
     """Jobs, machines, shares and versions of this controller while it is leader."""
 
@@ -72,18 +81,8 @@
         self.types: list[MachineType] = []
         self.limits = StoreLimits(facts.state)
         self.run_times = run_time_estimator.RunTimeEstimator()
-        # Called under the lock, so they must be short and take no lock of ours.
-        self.on_ready: Callable[[int], None] = lambda machine: None
-        self.on_stop_requested: Callable[[int], None] = lambda machine: None
-        self.on_machine_deleted: Callable[[int], None] = lambda machine: None
-        self.on_leadership_acquired: Callable[[], None] = lambda: None
-        self.on_done: Callable[[Placement], None] = lambda placement: None
-        self.on_accepted: Callable[[JobSpec], None] = lambda spec: None
-        self.on_placed: Callable[[Placement], None] = lambda placement: None
-        # The counts of these moves are durable: they may begin.
-        self.on_migrations_counted: Callable[[list[Migration]], None] = lambda moves: None
-        # Runs something short on the watch cache's task log.
-        self.with_task_log: Callable[[Callable[[TaskLog], Any]], Any] = lambda call: None
+        self.events = LeaderEvents()
+        self.task_log: TaskLogSource | None = None  # set by `Scheduler.connect`
         self.refused: dict[scaling.MachinePool, float] = {}
         # When the users want a class done: the aims of the settings, for jobs without a deadline.
         self.completion_targets_s = {
@@ -134,7 +133,7 @@
         self.leader_since = 0.0
         self.recovered_predecessor = False  # machines or work of a leader before us
         self.listed_at = NEVER  # when the cloud's last list was asked for
-        self.summarized_images: dict[str, list[str]] = {}
+        self.summarized_images: Mapping[str, Sequence[str]] = {}
         self.launching: dict[scaling.MachinePool, int] = {}
         self.urgent_jobs: list[tuple[float, float]] = []  # when accepted, CPUs
         self.recent_services: list[tuple[float, JobSpec]] = []  # services accepted lately, and when
@@ -163,43 +162,31 @@
         self.verified_machines: frozenset[int] = frozenset()  # to these machines
         self.on_demand_needed = True
 
-    def recover(
-        self,
-        found: Iterable[tuple[records.Record, int, Progress | None]],
-        next_attempt: int = 1,
-        summarized_images: dict[str, list[str]] | None = None,
-        term: int = 0,
-        fencing_token: int = 0,
-        as_of: float = NEVER,
-        moves: Mapping[str, Any] = MappingProxyType({}),
-        zones: Mapping[str, Any] = MappingProxyType({}),
-    ) -> None:
-        """Become leader: rebuild everything from the records. Nothing is placed before this is complete.
-
-        `summarized_images` is the last summary of the leader before: the images on each machine. It only
-        steers choices, so that it is late, or missing, does no harm. `term` is the version of the leadership
-        record that made us leader: every write names it. Never the version of the newest map seen, for that
-        may already be another's, and our writes would pass under it. `as_of`: when the read of all that was
-        sent. `moves`: what is stored of each job's restarts by moves,
-        `zones`: of each zone's losses.
-        """
+    def recover(self, recovered: RecoveredState) -> None:
+        """Become leader: rebuild everything from the records. Nothing is placed before this is complete."""
         with self.lock:
             self._clear()
             self.leader = True
-            self.term = term
-            self.fencing_token = fencing_token
-            self.next_attempt = next_attempt
-            self.summarized_images = summarized_images or {}
+            self.term = recovered.term
+            self.fencing_token = recovered.fencing_token
+            self.next_attempt = recovered.next_attempt
+            self.summarized_images = recovered.summarized_images
             now = self.leader_since = self.clock()
-            self.verified_at = as_of
-            for record, version, progress in found:
-                self._load(record, version, now, progress)
-            self._load_restarts(moves)
-            self.zone_records = zones
-            self.on_leadership_acquired()
+            self.verified_at = recovered.as_of
+            for job in recovered.jobs:
+                self._load(job.record, job.version, now, job.progress)
+            self._load_restarts(recovered.migration_counts)
+            self.zone_records = recovered.zone_records
+            self.events.on_leadership_acquired()
             self.recovered_predecessor = bool(self.jobs or self.summarized_images)
             self.complete = True
-            log.info("owner of %d open jobs on %d machines", len(self.jobs), len(self.machines))
+            log.info(
+                "leader elected: fencing_token=%d term=%d open_jobs=%d machines=%d",
+                self.fencing_token,
+                self.term,
+                len(self.jobs),
+                len(self.machines),
+            )
 
     def _load_restarts(self, moves: Mapping[str, Any]) -> None:
         for job_id, value in moves.items():
@@ -215,7 +202,7 @@
         """No longer leader: drop every decision."""
         with self.lock:
             if self.leader:
-                log.info("no longer owner")
+                log.info("leader stepping down: fencing_token=%d term=%d", self.fencing_token, self.term)
             self._clear()
 
     def _load(
@@ -398,7 +385,7 @@
         """Stop a task, by a direct command if its machine can be reached."""
         placement.stopping, placement.stop_grace_s = True, grace_s
         self.stopping[placement] = None
-        self.on_stop_requested(placement.machine)
+        self.events.on_stop_requested(placement.machine)
 
     def queue_completion(self, job: Job) -> None:
         """If the job is over and on no machine, have it closed in the task log; the watch cache keeps its
@@ -419,7 +406,7 @@
                         self.recent_services.append((self.clock(), spec))
                     elif spec.priority >= URGENT:
                         self.urgent_jobs = self.urgent_jobs[-20:] + [(self.clock(), spec.cpus * spec.tasks)]
-                    self.on_accepted(spec)
+                    self.events.on_job_accepted(spec)
                     log.info("job %s accepted: %d tasks", spec.id, spec.tasks)
                 return
             if version <= job.version:
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -8,6 +8,7 @@
 from collections.abc import Sequence
 
 from bayford.coordination.leader.commit_batch import Migration
+from bayford.coordination.leader.leader_events import LeaderListener
 from bayford.coordination.leader.leader_state import ROOM_KEPT_S, LeaderState
 from bayford.scheduling.model import Job, Placement
 
@@ -16,12 +17,12 @@
 FORGET_S = 5.0  # a move whose count became durable later than this is not begun: the snapshot has changed
 
 
-class Migrator:
+class Migrator(LeaderListener):
     """Begins moves. Called under the lock of the leader's state."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
-        state.on_migrations_counted = self.begin
+        state.events.subscribe(self)
 
     def allows(self, job: Job, task: int) -> bool:
         """Whether the task may be restarted by a move once more."""
@@ -40,6 +41,10 @@
             state.restarts.note(job.spec.id, move.placement.task)
             state.uncounted_migrations.setdefault(job.spec.id, []).append(move)
 
+    def on_migrations_counted(self, migrations: Sequence[Migration]) -> None:
+        """See `LeaderListener`."""
+        self.begin(migrations)
+
     def begin(self, moves: Sequence[Migration]) -> None:
         """Stop the tasks, as far as the moves still make sense."""
         for move in moves:
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -12,7 +12,6 @@
 
 import random
 from collections.abc import Callable, Mapping
-from typing import Any
 
 from bayford.config import Settings
 from bayford.coordination.leader import workload
@@ -20,15 +19,15 @@
 from bayford.coordination.leader.autoscaler import Autoscaler
 from bayford.coordination.leader.group_commit import GroupCommit
 from bayford.coordination.leader.heartbeat_handler import HeartbeatHandler
-from bayford.coordination.leader.leader_state import LeaderState
+from bayford.coordination.leader.leader_events import LeaderListener
+from bayford.coordination.leader.leader_state import LeaderState, TaskLogSource
 from bayford.coordination.leader.scheduling_round import SchedulingRound
 from bayford.coordination.leader.zone_monitor import ZoneMonitor
 from bayford.coordination.store_limits import StoreLimits
 from bayford.recovery.zone_health import LeadershipFacts
-from bayford.scheduling.model import JobSpec, MachineType
+from bayford.scheduling.model import MachineType
 from bayford.scheduling.policy import Policy
 from bayford.storage.key_value_store import Put
-from bayford.storage.task_log import TaskLog
 
 
 class Scheduler:
@@ -81,21 +80,11 @@
         self.deleted = self.autoscaler.deleted
         self.not_deleted = self.autoscaler.not_deleted
 
-    def connect(
-        self,
-        with_task_log: Callable[[Callable[[TaskLog], Any]], Any],
-        on_ready: Callable[[int], None],
-        on_stop_requested: Callable[[int], None],
-        on_machine_deleted: Callable[[int], None],
-        on_accepted: Callable[[JobSpec], None],
-    ) -> None:
-        """Whom to call: for something short on the watch cache's task log, and under the lock when a machine
-        has orders, has tasks to stop or is gone, and when a job was accepted."""
-        self.state.with_task_log = with_task_log
-        self.state.on_ready = on_ready
-        self.state.on_stop_requested = on_stop_requested
-        self.state.on_machine_deleted = on_machine_deleted
-        self.state.on_accepted = on_accepted
+    def connect(self, task_log: TaskLogSource, listener: LeaderListener) -> None:
+        """Give the scheduler its task log, and subscribe a listener to its events. Called once, before any
+        thread starts."""
+        self.state.task_log = task_log
+        self.state.events.subscribe(listener)
 
     @property
     def policy(self) -> Policy:
--- a/bayford/coordination/leader/scheduling_round.py
+++ b/bayford/coordination/leader/scheduling_round.py
@@ -382,7 +382,7 @@
         placement = self._state.make_placement(job, task, attempt, machine, machine.epoch)
         self._state.book(job, machine, placement)
         self._state.touch(job, task)
-        self._state.on_placed(placement)
+        self._state.events.on_task_placed(placement)
         placement.unpreemptable = starved
         placement.placed_at = now
         job.placed_at = now
--- a/bayford/coordination/leader/zone_monitor.py
+++ b/bayford/coordination/leader/zone_monitor.py
@@ -7,6 +7,7 @@
 from collections.abc import Mapping
 from types import MappingProxyType
 
+from bayford.coordination.leader.leader_events import LeaderListener
 from bayford.coordination.leader.leader_state import LeaderState
 from bayford.recovery import zone_record
 from bayford.recovery.task_outcomes import TaskKey, TaskOutcomes
@@ -29,7 +30,7 @@
 WRITE_PERIOD_S = 2.0  # how often what becomes of tasks is written, at the most
 
 
-class ZoneMonitor:
+class ZoneMonitor(LeaderListener):
     """States of all zones, in this leader's term."""
 
     def __init__(self, state: LeaderState) -> None:
@@ -44,9 +45,7 @@
         )
         self._controllers: Mapping[str, str] = {}
         self._begin_term()
-        state.on_leadership_acquired = self._leadership_acquired
-        state.on_done = self._on_done
-        state.on_placed = self._on_placed
+        state.events.subscribe(self)
 
     def _begin_term(self) -> None:
         self.statuses: dict[int, ZoneStatus] = {}
@@ -55,7 +54,7 @@
         self._written_at = 0.0
         self._reports: dict[int, tuple[int, tuple[int, int]]] = {}  # by machine: how many, and the last one
 
-    def _leadership_acquired(self) -> None:
+    def on_leadership_acquired(self) -> None:
         """This controller has become leader: go on with what the leader before has written."""
         self._begin_term()
         state = self._state
@@ -195,13 +194,15 @@
 
     # -- what becomes of tasks ---------------------------------------------------------------------------
 
-    def _on_done(self, placement: Placement) -> None:
+    def on_task_done(self, placement: Placement) -> None:
+        """See `LeaderListener`."""
         key = (placement.job.spec.id, placement.task)
         for zone, losses in self.losses.items():
             if any(outcomes.note_done(key) for outcomes in losses):
                 self._unwritten.add(zone)
 
-    def _on_placed(self, placement: Placement) -> None:
+    def on_task_placed(self, placement: Placement) -> None:
+        """See `LeaderListener`."""
         key = (placement.job.spec.id, placement.task)
         machine = self._state.machine_names[placement.machine]
         for zone, losses in self.losses.items():
--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -9,6 +9,7 @@
 import threading
 import time
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from typing import TypeVar
 
 from bayford.clock import NEVER
@@ -29,6 +30,15 @@
 Listener = Callable[[list[Row]], None]
 
 
+@dataclass(frozen=True, slots=True)
+class StoredJob:
+    """A job that is not over, as the store has it."""
+
+    record: records.Record
+    version: int
+    progress: Progress | None  # None: the task log tells nothing of it
+
+
 class WatchCache:
     """All rows under `records.PREFIX`, by key."""
 
@@ -316,7 +326,7 @@
                     out.append((job, task, attempt, epoch, self._record(row).cancelled > 0))
             return out
 
-    def open_jobs(self) -> list[tuple[records.Record, int, Progress | None]]:
+    def open_jobs(self) -> list[StoredJob]:
         """All jobs that are not over, for a new leader. UnavailableError if any can't be read."""
         with self._lock:
             if self._torn:
@@ -326,7 +336,7 @@
                 record = self._record(row)
                 progress = self.task_log.jobs.get(record.spec.id)
                 if not record.over or (progress is not None and progress.open):
-                    out.append((record, row.version, progress))
+                    out.append(StoredJob(record, row.version, progress))
             return out
 
     def jobs_since(self, revision: int) -> list[Row]:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -663,8 +663,8 @@
     recover = node.scheduler.recover
     seen = []
 
-    def amid(found, *rest):
-        recover(found, *rest)
+    def amid(recovered):
+        recover(recovered)
         seen.append(w.cancel(third, "req-000002"))
 
     monkeypatch.setattr(node.scheduler, "recover", amid)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,6 +13,7 @@
 from bayford.config import Settings
 from bayford.coordination.leader.autoscaler import Deletion, LaunchRequest, ScalingActions
 from bayford.coordination.leader.cloud_operations import LEADER_SHARE, LIST_SHARE, CloudOperations
+from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.workers.relay import heartbeats_in
 from bayford.protocol import workers
@@ -146,7 +147,7 @@
 def leader_with_cloud(cloud: PacedCloud, settings: Settings) -> tuple[Scheduler, CloudOperations]:
     scheduler = Scheduler(settings, Policy(), lambda: cloud.now, lambda: cloud.now, random.Random(1))
     scheduler.set_types([MachineType("small", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"))])
-    scheduler.recover([], term=1, fencing_token=1, as_of=0.0)
+    scheduler.recover(RecoveredState(term=1, fencing_token=1, as_of=0.0))
 
     def pause(event: threading.Event, seconds: float) -> None:
         cloud.now += seconds
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -1068,11 +1068,10 @@
     w = quiet()
     recover = LeaderState.recover
 
-    def slow(scheduler, found, *rest):
-        found = list(found)
+    def slow(scheduler, recovered):
         # Seen by the watch cache when there is no leader yet to be told.
         assert w.submit("n0", w.job(1)) == 201
-        recover(scheduler, found, *rest)
+        recover(scheduler, recovered)
 
     monkeypatch.setattr(LeaderState, "recover", slow)
     w.boot("n0")  # its old incarnation is gone from the leadership record at once, so it takes over here
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -55,7 +55,12 @@
 def test_rows_of_production_add_up_and_a_short_row_after_them_has_their_form():
     found = golden_task_log()
     assert told(found) == GOLDEN["state"]
-    assert [found.next, found.tail, found.next_attempt, [list(s) for s in found.next_slots(3)]] == GOLDEN["next"]
+    assert [
+        found.next,
+        found.tail,
+        found.next_attempt,
+        [list(s) for s in found.next_slots(3)],
+    ] == GOLDEN["next"]
     known = {key for _, _, row in GOLDEN["rows"] for key in row} | {"x", "c"}
     rows = [tuple(row) for row in GOLDEN["rows"]]
     version = 1000
--- a/tools/leader_cost.py
+++ b/tools/leader_cost.py
@@ -15,10 +15,13 @@
 import time
 from collections.abc import Callable
 from pathlib import Path
+from typing import TypeVar
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bayford.config import Settings, parse  # noqa: E402
+from bayford.coordination.leader.leader_events import LeaderListener  # noqa: E402
+from bayford.coordination.leader.recovered_state import RecoveredState  # noqa: E402
 from bayford.coordination.leader.scheduler import Scheduler  # noqa: E402
 from bayford.protocol import workers  # noqa: E402
 from bayford.protocol.cloud_api import Listed  # noqa: E402
@@ -27,6 +30,8 @@
 from bayford.storage import records  # noqa: E402
 from bayford.storage.task_log import TaskLog  # noqa: E402
 
+T = TypeVar("T")
+
 CPUS = 4.0
 TYPE = MachineType("four", CPUS, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"), 40.0)
 VALUE_KB = 4.0
@@ -67,17 +72,21 @@
         settings: Settings = parse(SETTINGS)
         self.scheduler = Scheduler(settings, policy, lambda: self.now, lambda: self.now, random.Random(seed))
         self.task_log = TaskLog(settings_bytes())
-        self.scheduler.state.with_task_log = lambda call: call(self.task_log)
+        self.scheduler.connect(self, LeaderListener())
         self.rng = random.Random(seed)
         self.version = 1
         self.jobs = 0
         self.ticks = dict.fromkeys((f"vm-{n:06d}" for n in range(count)), 0)
         self.scheduler.set_types([TYPE])
-        self.scheduler.recover([], term=1, fencing_token=1, as_of=self.now)
+        self.scheduler.recover(RecoveredState(term=1, fencing_token=1, as_of=self.now))
         self.scheduler.on_list([self._listed(n, name) for n, name in enumerate(self.ticks)], self.now)
         for name in self.ticks:
             self.heartbeat(name)
 
+    def with_task_log(self, call: Callable[[TaskLog], T]) -> T:
+        """See `TaskLogSource`."""
+        return call(self.task_log)
+
     def _listed(self, n: int, name: str) -> Listed:
         return Listed(name, "10.0.0.1:9", TYPE.name, TYPE.zones[n % 2], True, "running", 30.0)
 
