--- /dev/null
+++ b/bayford/coordination/leader/admission_publisher.py
@@ -0,0 +1,100 @@
+"""Publishes the admission level as the leader. Made only where admission is on."""
+
+from collections.abc import Callable
+
+from bayford.config import Settings
+from bayford.coordination.api.admission_gate import AdmissionGate
+from bayford.coordination.leader.admission_control import (
+    AdmissionControl,
+    TaskLogFacts,
+    decode_sample,
+    encode_sample,
+)
+from bayford.coordination.leader.commit_loop import CommitLoop
+from bayford.coordination.leader.leader_events import LeaderListener
+from bayford.coordination.leader.scheduler import Scheduler
+from bayford.protocol import mesh
+from bayford.scheduling.model import JobSpec
+from bayford.storage import records
+from bayford.storage.counting_store import CountingStore
+from bayford.storage.key_value_store import OutcomeUnknownError, Row, UnavailableError
+from bayford.storage.watch_cache import WatchCache
+
+STEP_PERIOD_S = 0.5  # how often the leader looks whether a new level is due
+
+
+def job_classes(settings: Settings, scheduler: Scheduler) -> list[str]:
+    """The classes of jobs that admission tells apart: those with objectives, and the operators' own."""
+    named = [o.job_class for o in settings.facts.objectives if o.job_class is not None]
+    return [*named, *scheduler.policy.extra_classes]
+
+
+class AdmissionPublisher(LeaderListener):
+    """Owns the gate of this controller and the control of its terms as leader. `step` runs in one thread."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        scheduler: Scheduler,
+        is_verified_leader: Callable[[], bool],
+        commit_loop: CommitLoop,
+        store: CountingStore,
+        watch_cache: WatchCache,
+        clock: Callable[[], float],
+        wall: Callable[[], float],
+    ) -> None:
+        """`store`: the one that the task log is written to, whose refusals show its load."""
+        self._member = settings.member
+        self._scheduler = scheduler
+        self._is_verified_leader = is_verified_leader
+        self._commit_loop = commit_loop
+        self._store = store
+        self._watch_cache = watch_cache
+        self._clock = clock
+        self._wall = wall
+        limits = scheduler.limits
+        self.gate = AdmissionGate(watch_cache, job_classes(settings, scheduler), limits.write_rps, clock)
+        self.control = AdmissionControl(scheduler.policy, settings.facts.teams, limits)
+
+    def on_job_accepted(self, spec: JobSpec) -> None:
+        """See `LeaderListener`."""
+        self.control.note_accepted(self.gate.flow(spec), self._clock())
+
+    def on_peer_status(self, status: mesh.Status) -> None:
+        """Take in what another controller says of the jobs submitted there."""
+        if status.submitted is not None:
+            self.control.note_submitted(status.member, decode_sample(status.submitted), self._clock())
+
+    def submitted(self) -> mesh.Submitted:
+        """A sample of the jobs submitted here, for the other controllers."""
+        return encode_sample(self.gate.submitted())
+
+    def step(self) -> float:
+        """Publish a level if one is due."""
+        self.publish_once()
+        return STEP_PERIOD_S
+
+    def publish_once(self) -> None:
+        """As the leader, publish the next admission level if the load asks for one."""
+        if not self._scheduler.leader or not self._is_verified_leader():
+            return
+        now = self._clock()
+        self.control.note_submitted(self._member, self.gate.submitted(), now)
+        term, view = self._scheduler.term, self.gate.view()
+        task_log_rps = self._commit_loop.rate_rps
+        lag_s = self._scheduler.pending_completion_count() / task_log_rps
+        facts = TaskLogFacts(self._store.counts().refused, lag_s)
+        self._commit_loop.writes.rate = self.control.task_log_rps(view) or task_log_rps
+        put = self.control.step(term, view, self._scheduler.workload_facts, facts, now, self._wall())
+        if put is None:
+            return
+        self._commit_loop.writes.take(1)
+        try:
+            # Under this term, and over the very level that it follows: late copies of either write fail.
+            conditions = {records.LEADERSHIP: term, put.key: view.version}
+            outcome = self._store.compare_and_swap(conditions, [put])
+        except (UnavailableError, OutcomeUnknownError):
+            self.control.not_written()
+            raise
+        if outcome.applied:
+            self._watch_cache.apply([Row(put.key, put.value, outcome.revision)])
--- a/bayford/coordination/leadership/membership.py
+++ b/bayford/coordination/leadership/membership.py
@@ -148,9 +148,13 @@
         row = self._watch_cache.get(records.MEMBERS + name)
         return row is not None and row.value == incarnation
 
+    def is_record_of_this_process(self, record: LeadershipRecord) -> bool:
+        """Whether a leadership record names this very process as the leader."""
+        return record.names_process(self.name, self.incarnation)
+
     def is_leader(self) -> bool:
         """Whether this process is the leader by the leadership record it knows."""
-        return self.record.names_process(self.name, self.incarnation)
+        return self.is_record_of_this_process(self.record)
 
     def step(self) -> None:
         """Keep the lease; take over if the leader is gone."""
--- /dev/null
+++ b/bayford/coordination/store_writer.py
@@ -0,0 +1,28 @@
+"""Writes that depend on nothing and on which nothing depends: relayed heartbeats, load summaries."""
+
+import logging
+from collections.abc import Sequence
+
+from bayford.coordination.store_limits import StoreLimits
+from bayford.storage.key_value_store import KeyValueStore, Put, TooLargeError
+
+log = logging.getLogger(__name__)
+
+
+def write_each(store: KeyValueStore, limits: StoreLimits, puts: Sequence[Put], max_puts: int = 1000) -> None:
+    """Write the puts unconditionally, up to `max_puts` in one transaction.
+
+    What the store refuses for its size must not keep the rest from being written: such a transaction is
+    written again in halves, and a single value that is refused is logged and left out. Raises
+    `UnavailableError` and `OutcomeUnknownError` like the store.
+    """
+    size = min(max_puts, limits.txn_ops)
+    for start in range(0, len(puts), size):
+        chunk = puts[start : start + size]
+        try:
+            store.compare_and_swap({}, list(chunk))
+        except TooLargeError as error:
+            if len(chunk) > 1:
+                write_each(store, limits, chunk, len(chunk) // 2)
+            else:
+                log.error("value too large, not written: key=%s error=%s", chunk[0].key, error)
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -157,8 +157,8 @@
     flood(w, 6, 1)
     w.state.hold.add(leader)
     node = w.nodes[leader]
-    node._admission.not_written()
-    assert not w.try_(node.admission_once), "its answer is lost"
+    node.admission.control.not_written()
+    assert not w.try_(node.admission.publish_once), "its answer is lost"
     assert w.state.held and w.state.held[0][1][0].key == records.ADMISSION
     del w.nodes[leader]
     rest = [name for name in NODES if name != leader]
@@ -220,7 +220,7 @@
         assert node.submit(body_of(w, number, cpus=-1.0)).status == 400
         if not number % 20:
             w.step()
-    assert not any(node._gate.submitted().jobs for node in w.nodes.values())
+    assert not any(node.admission.gate.submitted().jobs for node in w.nodes.values())
     assert records.ADMISSION not in w.state.rows
 
 
@@ -267,14 +267,14 @@
     assert refusing.windows and {window.team for window in refusing.windows} == {"red"}
     assert {window.job_class for window in refusing.windows} == {"sweep"}, "urgent ones go first"
     assert all(each.status != 429 for each in names_process + urgent)
-    assert w.nodes[w.leader()].writes.rate < 4.0, "the ledger keeps to what the acceptances leave"
+    assert w.nodes[w.leader()].commit_loop.writes.rate < 4.0, "the ledger keeps to what the acceptances leave"
     assert any(each.status == 201 for each in told[-400:]), "the flood itself goes on"
     numbers = []
     for _ in range(60):
         w.step()
         numbers.append(stored_level(w).number)
     assert stored_level(w).is_open
-    assert w.nodes[w.leader()].writes.rate == pytest.approx(7.0)
+    assert w.nodes[w.leader()].commit_loop.writes.rate == pytest.approx(7.0)
     assert len(set(numbers[30:])) == 1, "no swinging"
     assert answer(w, "n1", 9999).status == 201
     history = [Row(row.key, row.value, row.version) for row in w.state.log]
@@ -309,7 +309,7 @@
     """The leader's state is locked when it tells of an accepted job: neither may wait for the other."""
     w = cluster()
     node = w.nodes[w.leader()]
-    control, task_log = node._admission, TaskLogFacts(0, 0.0)
+    control, task_log = node.admission.control, TaskLogFacts(0, 0.0)
 
     def gather():
         control.note_accepted(SWEEP, w.clock.now)  # as another thread does under the state's lock
@@ -317,7 +317,7 @@
 
     step = threading.Thread(
         target=control.step,
-        args=(node.scheduler.term, node._gate.view(), gather, task_log, w.clock.now + 9.0, 1.0),
+        args=(node.scheduler.term, node.admission.gate.view(), gather, task_log, w.clock.now + 9.0, 1.0),
         daemon=True,
     )
     step.start()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -111,7 +111,7 @@
     assert worker.take(late_answer, cluster.clock.now, worker.epoch) == 0, "its token is surpassed"
     status = old.heartbeat(late_report, NEVER).status
     assert status in (421, 503), "a report that comes late is not the old owner's to answer"
-    outcome = old.store.compare_and_swap(
+    outcome = old.commit_loop.store.compare_and_swap(
         {records.LEADERSHIP: old.membership.record.version - 1}, [Put("b/probe", 1)]
     )
     assert not outcome.applied, "a write of the term before names a map that is gone"
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -141,15 +141,15 @@
     assert w.cancel(other, "req-000001") == "aborted"
     w.nodes[other].notices.send()
     assert leader.scheduler.state.jobs["req-000001"].cancelled
-    assert not leader.no_competing_leader()
+    assert not leader.verifier.no_competing_leader()
     w.state.down = True
     wait(w, 8.0, fleet=False)  # by then no other says any more that it is served
-    assert leader.no_competing_leader()
+    assert leader.verifier.no_competing_leader()
     leader.peers.served_at[other] = w.clock.now
-    assert not leader.no_competing_leader(), "another is served"
+    assert not leader.verifier.no_competing_leader(), "another is served"
     leader.peers.served_at.clear()
     leader.membership.observe_token(leader.membership.record.fencing_token + 1)
-    assert not leader.no_competing_leader(), "somebody has seen a higher token"
+    assert not leader.verifier.no_competing_leader(), "somebody has seen a higher token"
 
 
 def test_a_relay_stops_what_it_knows_as_cancelled_without_a_fresh_view():
@@ -179,7 +179,7 @@
     assert w.cancel(other, "req-000001") == "aborted"
     w.state.down = True
     w.pass_time(leader.scheduler.staleness_limit() + 1.0)
-    assert not leader.is_verified_leader()
+    assert not leader.verifier.is_verified_leader()
     assert w.nodes[other].notices.send()
     w.step_node(name)
     assert not running(w), "halted by a direct command"
@@ -235,7 +235,7 @@
     w = quiet(machines=1, nodes=3)
     name, leader, other = owned(w)
     decided(w, name)
-    leader.commit_once()
+    leader.commit_loop.commit_once()
     assert leader.scheduler.state.jobs["req-000001"].open
     assert w.cancel(other, "req-000001") == "aborted"
     w.heartbeat(next(iter(w.workers.values())), name)
@@ -610,12 +610,12 @@
         batch = leader.scheduler.take_batch(12)
         assert batch is not None and batch.over == ["req-000001"]
     if moment == "written":
-        leader._write(batch)
+        leader.commit_loop.write(batch)
     told = set(w.look(1, parts=1, guess_s=500.0))
     if what == "cancel":
         assert w.cancel(other, "req-000001") == ("done" if moment == "written" else "aborted")
     if moment == "writing":
-        leader._write(batch)
+        leader.commit_loop.write(batch)
     assert told == ({"done"} if moment == "written" else {"running"})
     wait(w, 3.0, fleet=False)
     expected = "aborted" if what == "cancel" and moment != "written" else "done"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -223,7 +223,7 @@
             }
             relaying.relay.note(worker.heartbeat())
         fleet = fleet[1:] + fleet[:1]
-        cluster.try_(relaying._publish)
+        cluster.try_(relaying.relay_publisher.publish)
         for key, (value, version, _) in cluster.state.rows.items():
             if key.startswith(records.RELAYS) and seen.get(key) != version:
                 seen[key] = version
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -226,7 +226,7 @@
         node = w.nodes["n0"]
         node.watch_cache.pull(0.0)
         node.scheduler.round()
-        node.commit_once()
+        node.commit_loop.commit_once()
     else:
         steps(w, 4)
     if state == "resting":
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -356,7 +356,7 @@
     node = cluster.nodes["n0"]
     target = node.scheduler.state.uncounted_migrations["req-000001"][0].target
     if counted:
-        node.commit_once()
+        node.commit_loop.commit_once()
         assert placement.stopping and node.scheduler.state.moves >= 1
     if trouble == "done":
         cluster.finish(placement.task_id)
@@ -372,7 +372,7 @@
     if trouble != "owner" and not counted:
         before = node.scheduler.state.moves, set(node.scheduler.state.stopping)
         node.watch_cache.pull(0.0)
-        node.commit_once()
+        node.commit_loop.commit_once()
         assert (node.scheduler.state.moves, set(node.scheduler.state.stopping) - {placement}) == (
             0,
             before[1] - {placement},
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -142,7 +142,7 @@
     w = quiet()
     node = decided(w)
     w.state.lose_answer.add("n0")
-    assert not w.try_(node.commit_once) or node.scheduler.has_pending_writes()
+    assert not w.try_(node.commit_loop.commit_once) or node.scheduler.has_pending_writes()
     for _ in range(3):
         w.step()
     assert len(running(w)) == 2
@@ -157,7 +157,7 @@
     w = quiet()
     node = decided(w)
     w.state.hold.add("n0")
-    w.try_(node.commit_once)
+    w.try_(node.commit_loop.commit_once)
     assert w.state.held
     w.step()
     for t in range(2):
@@ -175,7 +175,7 @@
     w.submit("n1", w.job(1))
     w.nodes[leader].watch_cache.pull(0.0)
     w.nodes[leader].scheduler.round()
-    w.nodes[leader].commit_once()  # placed and committed, not started
+    w.nodes[leader].commit_loop.commit_once()  # placed and committed, not started
     before = w.nodes[leader].membership.record.fencing_token
     del w.nodes[leader]
     for _ in range(12):
@@ -192,7 +192,7 @@
     worker = next(iter(w.workers.values()))
     w.heartbeat(worker, old_name)  # the old leader does not know yet
     assert worker.running() == []
-    old.commit_once()
+    old.commit_loop.commit_once()
     assert not old.scheduler.leader, "its write failed on the map, so it has stepped down"
     for _ in range(3):
         w.step()
@@ -263,7 +263,7 @@
     batch = node.scheduler.take_batch(12)
     assert batch is not None and batch.over == ["req-000001"]
     assert w.cancel(other, "req-000001") == "aborted"
-    node._write(batch)
+    node.commit_loop.write(batch)
     for _ in range(3):
         w.step()
     assert {w.query(n, "req-000001") for n in w.nodes} == {"aborted"}
@@ -291,7 +291,7 @@
     w = quiet(machines=1)
     worker = next(iter(w.workers.values()))
     node = decided(w, parts=1)
-    node.commit_once()
+    node.commit_loop.commit_once()
     w.cancel("n0", "req-000001")
     node.watch_cache.pull(0.0)
     node.scheduler.on_heartbeat(worker.heartbeat(), after=w.clock.now - 5.0)
@@ -977,7 +977,7 @@
     w.step()
     have = [m.name for m in w.nodes[leader].scheduler.state.machines.values() if any(m.images.values())]
     assert len(have) == 1
-    w.nodes[leader].summary_step()
+    w.nodes[leader].summary_writer.step()
     assert max(w.state.sizes) <= 512
     del w.nodes[leader]
     for _ in range(12):
@@ -993,19 +993,19 @@
     w.nodes["n1"].peers.asks = {"n0": lambda timeout_s: w.nodes["n0"].status()}
     for _ in range(5):
         w.step(1.0)
-        w.nodes["n1"]._peer_step()
+        w.nodes["n1"].peer_poller.step()
     assert w.nodes["n0"].healthy() and not w.nodes["n1"].healthy()
     w.state.refuses.add("n0")
     for _ in range(9):
         w.step(1.0)
-        w.nodes["n1"]._peer_step()
+        w.nodes["n1"].peer_poller.step()
     assert w.nodes["n1"].healthy(), "an outage for all: every node stays up and tells users to come back"
 
 
 def test_the_watches_of_all_controllers_leave_most_requests_to_others():
     w = quiet(nodes=3)
     rps = w.nodes["n0"].settings.facts.state.rps
-    pauses = [node._watch_step() for node in w.nodes.values()]
+    pauses = [node.watch_step() for node in w.nodes.values()]
     assert sum(1.0 / pause for pause in pauses) <= 0.35 * rps, "even if each change ends each watch"
 
 
@@ -1020,7 +1020,7 @@
         raise UnavailableError("429", refused=True)
 
     monkeypatch.setattr(CountingStore, "compare_and_swap", refused)  # that of every part
-    node.writes.drain()
+    node.commit_loop.writes.drain()
     for _ in range(4):
         w.pass_time(0.5)
         w.step_node("n0")
@@ -1090,7 +1090,7 @@
     before = task_log_rows(w)
     worker = next(iter(w.workers.values()))
     w.heartbeat(worker, old_name)
-    old.commit_once()
+    old.commit_loop.commit_once()
     assert task_log_rows(w) == before
     assert worker.running() == []
     for _ in range(3):
@@ -1300,7 +1300,7 @@
     leader = w.leader()
     worker = next(iter(w.workers.values()))
     empty = worker.heartbeat()
-    decided(w, leader, parts=1).commit_once()  # committed; the start is still to go out
+    decided(w, leader, parts=1).commit_loop.commit_once()  # committed; the start is still to go out
     w.cancel(leader, "req-000001")
     w.boot(leader)  # and the next leader has not heard the machine yet
     for _ in range(10):
@@ -1358,7 +1358,7 @@
     w = quiet(machines=1, nodes=2)
     w.state.down = True
     wait(w, 20.0, fleet=False)
-    assert all(not node.isolated() and node.healthy() for node in w.nodes.values())
+    assert all(not node.connectivity.is_isolated() and node.healthy() for node in w.nodes.values())
     assert all(worker.epoch == 1 for worker in w.workers.values())
 
 
@@ -1428,7 +1428,7 @@
         assert len(running(w)) == 16
         node = w.nodes[old]
         launched_at, sent = w.launched_at, []
-        node._command = lambda address, body, sent=sent: sent.append(address)
+        node.stop_commands.send = lambda address, body, sent=sent: sent.append(address)
         worker = next(iter(w.workers.values()))
         if first == "fleet":
             w.fleet(old)
@@ -1441,7 +1441,7 @@
             index = node.scheduler.state.machine_names.find(worker.name)
             for placement in node.scheduler.state.machines[index].open.values():
                 node.scheduler.state.stop(placement, 0.0)
-            node._command_step()
+            node.stop_commands.step()
         else:
             copy = msgspec.structs.replace(worker.heartbeat(), fencing_token=1, sequence=999)
             assert node.heartbeat(copy, NEVER)[0] == 503
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,6 +10,7 @@
 from world import World
 
 from bayford.coordination.store_limits import StoreLimits
+from bayford.coordination.store_writer import write_each
 from bayford.coordination.workers.relay import heartbeats_in
 from bayford.protocol import mesh, workers
 from bayford.storage import load_summary, records, task_log
@@ -206,11 +207,13 @@
     w = quiet()
     node = w.nodes["n0"]
     w.state.txn_ops, w.state.value_bytes = 2, 300
-    node._put_all(
+    write_each(
+        node.commit_loop.store,
+        node.limits,
         [
             load_summary.Put(f"b/relay/n0/{n}", {"at": 1.0, "reports": "x" * size})
             for n, size in enumerate([10, 20, 900, 30])
-        ]
+        ],
     )
     assert [k for k in w.state.rows if k.startswith("b/relay")] == [
         "b/relay/n0/0",
@@ -226,14 +229,14 @@
     node = w.nodes["n0"]
     for worker in w.workers.values():
         w.heartbeat(worker)
-    before = node.writes.available()
+    before = node.commit_loop.writes.available()
     w.state.refuses.add("n0")
     for _ in range(20):
-        w.try_(node.summary_step)
-    assert before - node.writes.available() <= 20
+        w.try_(node.summary_writer.step)
+    assert before - node.commit_loop.writes.available() <= 20
     w.state.refuses.clear()
     rows = len([k for k in w.state.rows if k.startswith(records.SUMMARIES)])
-    node.summary_step()
+    node.summary_writer.step()
     assert len([k for k in w.state.rows if k.startswith(records.SUMMARIES)]) <= rows + 1
 
 
@@ -372,7 +375,7 @@
     w = quiet()
     w.state.value_bytes = 10
     with pytest.raises(TooLargeError):
-        w.nodes["n0"].store.compare_and_swap({}, [load_summary.Put("b/x", "y" * 20)])
+        w.nodes["n0"].commit_loop.store.compare_and_swap({}, [load_summary.Put("b/x", "y" * 20)])
     assert w.nodes["n0"].limits.value_bytes == 8192, "only a commit of the owner's teaches"
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -469,8 +469,8 @@
             # Threads of the real thing would run meanwhile: the group commit, and the one that reads.
             try:
                 if node.scheduler.leader:
-                    node.commit_once()
-                    node.verify_once()
+                    node.commit_loop.commit_once()
+                    node.leadership.verify_once()
             except (UnavailableError, OutcomeUnknownError, LeaseGoneError):
                 pass
             self.pass_time(min(seconds, self.pause_s))
@@ -520,7 +520,7 @@
 
     def join(self, name: str) -> None:
         self.try_(lambda: self.nodes[name].watch_cache.pull(0.0))
-        self.try_(lambda: self.nodes[name]._member_step())
+        self.try_(lambda: self.nodes[name].membership_step())
 
     @staticmethod
     def try_(step: Callable[[], object]) -> bool:
@@ -545,17 +545,18 @@
             return
         node = self.nodes[name]
         self.try_(lambda: node.watch_cache.pull(0.0))
-        self.try_(node._member_step)
-        self.try_(node._peer_step)
+        self.try_(node.membership_step)
+        self.try_(node.peer_poller.step)
         node.notices.send()
-        self.try_(node.admission_once)
+        if node.admission is not None:
+            self.try_(node.admission.publish_once)
         if node.scheduler.leader:
             node.scheduler.round()
             for _ in range(3):
-                self.try_(node.commit_once)
-            node.verify_once()
-        while not node._stop_queue.empty():
-            node._command_step()
+                self.try_(node.commit_loop.commit_once)
+            node.leadership.verify_once()
+        while node.stop_commands.pending:
+            node.stop_commands.step()
 
     def fleet(self, name: str) -> None:
         """What the cloud threads of one controller do in a while."""
@@ -563,13 +564,13 @@
         if not node.scheduler.leader or name in self.frozen:
             return
         self.try_(node.cloud_operations.list_step)
-        step = node.scaling_once()
+        step = node.scaling_loop.scaling_once()
         for launch in step.launches:
             node.cloud_operations.launch(launch)
         if step.deletions:
             node.cloud_operations.delete([deletion.machine for deletion in step.deletions])
         if node.scheduler.policy.recovery:
-            self.try_(node.monitor_zones)
+            self.try_(node.scaling_loop.monitor_zones)
 
     def step(self, seconds: float = 0.5) -> None:
         """Some time passes: every controller steps, every worker reports to the leader."""
