--- a/bayford/coordination/leadership/peers.py
+++ b/bayford/coordination/leadership/peers.py
@@ -1,4 +1,4 @@
-"""What the other controllers said last over the mesh: who is in reach and served, which release they run."""
+"""The last status of every other controller: whether it is in reach and what it runs."""
 
 import logging
 from collections.abc import Callable, Iterator, Mapping
@@ -6,16 +6,16 @@
 from bayford.clock import NEVER
 from bayford.protocol import mesh
 
-log = logging.getLogger("bayford.controller")
+log = logging.getLogger(__name__)
 
 ASK_TIMEOUT_S = 0.8
-SERVED_S = 3.0  # for so long "the state service serves me" holds
+SERVED_S = 3.0  # how long it holds that the state service has executed a request
 
-Ask = Callable[[float], mesh.Status | None]
+Ask = Callable[[float], mesh.Status | None]  # timeout in seconds; None without an answer
 
 
 class Peers:
-    """The statuses of the other controllers. One thread asks, any may read."""
+    """One thread polls (`ask_all`), any may read."""
 
     def __init__(
         self,
@@ -25,19 +25,21 @@
         release: int,
         clock: Callable[[], float],
     ) -> None:
-        """`asks`: how to ask each for its status. `zones`: of all controllers, ours included."""
+        """`asks`: how to poll each. `zones`: of all controllers, this one included. `release`: of this
+        one."""
         self.asks = asks
         self.release = release
-        self.releases: dict[str, int] = {}  # as each last said
+        self.releases: dict[str, int] = {}  # as of its last status
         self.unreachable: set[str] = set()
-        self.served_at: dict[str, float] = {}  # when each last said that the state service serves it
-        self.heard_at = NEVER  # when any was last heard
+        self.served_at: dict[str, float] = {}  # when each last reported that the state service serves it
+        self.heard_at = NEVER  # when any last answered
         self._name = name
         self._zones = zones
         self._clock = clock
 
     def ask_all(self) -> Iterator[mesh.Status]:
-        """Ask one after the other; each answer as it comes, for those that are gone take their time."""
+        """Poll one after the other and yield each status as it comes: a controller that is down takes its
+        whole timeout."""
         for name, ask in self.asks.items():
             status = ask(ASK_TIMEOUT_S)
             if status is None:
@@ -54,22 +56,22 @@
         if self.releases.get(name) == release:
             return
         self.releases[name] = release
-        log.info("%s runs release %d, this is %d", name, release, self.release)
+        log.info("peer release: member=%s release=%d own_release=%d", name, release, self.release)
         if len(self.releases) == len(self.asks) and set(self.releases.values()) == {self.release}:
-            log.info("all %d controllers run release %d", len(self.asks) + 1, self.release)
+            log.info("upgrade complete: controllers=%d release=%d", len(self.asks) + 1, self.release)
 
     def older(self) -> set[str]:
-        """Those that run an older release than ours."""
+        """Those that run an older release than this controller."""
         return {name for name, release in self.releases.items() if release < self.release}
 
     def served(self) -> list[str]:
-        """Those in reach that the state service serves, the ones in our zone first."""
+        """Those that the state service serves, the ones in the zone of this controller first."""
         now = self._clock()
         able = [name for name, at in self.served_at.items() if now - at <= SERVED_S]
         return sorted(able, key=lambda name: (self._zones.get(name) != self._zones[self._name], name))
 
     def reach_by_zone(self) -> dict[str, str]:
-        """Of each zone, how many of its controllers are in reach, in words."""
+        """By zone, how many of its controllers are in reach, as text for the log."""
         out = {}
         for zone in set(self._zones.values()):
             names = [name for name, site in self._zones.items() if site == zone]
--- a/bayford/coordination/leadership/stall_detector.py
+++ b/bayford/coordination/leadership/stall_detector.py
@@ -1,31 +1,32 @@
-"""Whether this process has stood still.
+"""Detects that this process was stopped for a while.
 
-A process can be stopped for seconds, or minutes, while its clocks run on: every timer is due when it goes
-on, each thread wakes alone, and all that any of them knows is as old as the standstill. No other sign tells
-it from a minute in which nothing came in. So every thread that is about to act asks here first.
+A process can be stopped for seconds or minutes while its clocks run on. When it goes on every timer is due,
+each thread wakes by itself, and all that any of them knows is as old as the stall. Nothing else tells a stall
+from a minute in which nothing came in, so every thread that is about to act asks here first.
 """
 
 import threading
 from collections.abc import Callable
 
-# A shorter gap between two checks can't have cost us the membership, and a busy processor makes gaps too.
+# A shorter gap between two checks can't have cost the membership lease, and a busy processor causes gaps,
+# too.
 STALL_S = 2.0
 CHECK_PERIOD_S = 0.25
 
 
 class StallDetector:
-    """When this process last went on after a standstill."""
+    """When this process last went on after a stall."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._lock = threading.Lock()
+        self._lock = threading.Lock()  # guards both times: the first caller after a gap detects it
         self._checked_at = clock()
         self._resumed_at = self._checked_at
 
     def resumed_at(self) -> float:
-        """What was known before this moment may be old by any length of time.
+        """When the last stall ended, on the steady clock: what was known before may be old by any length.
 
-        A thread of its own calls this every `CHECK_PERIOD_S`. Whoever calls first after a gap finds it.
+        A thread of its own calls this every `CHECK_PERIOD_S`; the first call after a gap detects the stall.
         """
         with self._lock:
             now = self._clock()
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -1,14 +1,16 @@
-"""Answering workers that can't reach the leader.
+"""Answers workers that can't reach the leader, on its behalf.
 
-In a cut between zones, or when the leader alone is cut off, a worker that the leader can't hear reports to
-another controller. That one keeps its lease alive with the current token, passes its heartbeats to the leader
-through the store, and answers with what the records say: the placements of the machine are its orders,
-for they were committed before any start went out. It decides nothing by itself.
+In a cut between zones, or when the leader alone is cut off, a worker that the leader can't answer sends its
+heartbeats to another controller, the relay. The relay keeps the worker's lease alive with the current fencing
+token, passes the heartbeats to the leader through the store, and answers with what the task log says: the
+placements on the machine are its commands, since they were committed before any start went out. It decides
+nothing by itself.
 """
 
 import logging
 import threading
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 
 from bayford.clock import NEVER
 from bayford.coordination.store_limits import StoreLimits
@@ -17,16 +19,25 @@
 from bayford.storage.key_value_store import Put, Row
 from bayford.storage.watch_cache import WatchCache
 
-log = logging.getLogger("bayford.relay")
+log = logging.getLogger(__name__)
 
-RELAY_S = 30.0
-BACK_S, RETURN_S = 0.5, 20.0  # when a worker that could not reach the leader is back: 1 s at the least
-FIRST_S = 10.0  # until the leader is tried again by a machine that lost it
-AGAIN_S = 60.0
-OLD_S = 15.0
-CHANGED_S, UNCHANGED_S = 0.7, 4.0  # how often the heartbeats are passed on
-LONGEST_S = 8.0  # at the most, however many values that takes: the leader must hear machines within a lease
-REMEMBERED = 32_768  # machines, and cancelled jobs, remembered
+RELAY_S = 30.0  # how long a worker that could not reach the leader is answered here
+FIRST_RELAY_S = 10.0  # the same for a worker that has just lost the leader, which then tries it again
+# A worker that is back so soon after it was redirected could not reach the leader. It takes 1 s at least.
+MIN_RETURN_S, MAX_RETURN_S = 0.5, 20.0
+RELAY_AGAIN_S = 60.0  # after a relay has ended, before losing the leader alone starts another
+MAX_AGE_S = 15.0  # of a relay's rows, for the leader to take heartbeats from them
+KEPT_S = 8.0  # how long a heartbeat is passed on
+CHANGED_PERIOD_S, UNCHANGED_PERIOD_S = 0.7, 4.0  # how often heartbeats are passed on
+MAX_PERIOD_S = 8.0  # however many values that takes: the leader must hear of machines within a lease
+MAX_REMEMBERED = 32_768  # machines, and cancelled jobs
+ENVELOPE_BYTES = 64  # of a value: what surrounds the packed heartbeats
+
+
+@dataclass(frozen=True, slots=True)
+class _KeptHeartbeat:
+    received_at: float  # steady clock
+    heartbeat: workers.Heartbeat
 
 
 class Relay:
@@ -40,19 +51,19 @@
         clock: Callable[[], float],
         wall: Callable[[], float],
     ) -> None:
-        self._wall = wall
         self._name = name
         self._watch_cache = watch_cache
         self._limits = limits
         self._clock = clock
-        self._lock = threading.Lock()
-        self._latest: dict[str, tuple[int, int]] = {}  # epoch and tick last seen here
-        self._sent_away: dict[str, float] = {}
-        self._until: dict[str, float] = {}
-        self._reports: dict[str, tuple[float, workers.Heartbeat]] = {}
-        self._changed = False
-        self._published = NEVER
-        self._keys = 0
+        self._wall = wall
+        self._lock = threading.Lock()  # guards all that follows, but for `_key_count`
+        self._latest: dict[str, tuple[int, int]] = {}  # by machine: epoch and sequence last seen here
+        self._redirected_at: dict[str, float] = {}  # by machine
+        self._relayed_until: dict[str, float] = {}  # by machine
+        self._heartbeats: dict[str, _KeptHeartbeat] = {}  # by machine: the newest
+        self._changed = False  # something is to be passed on soon
+        self._published_at = NEVER
+        self._key_count = 0  # keys that the heartbeats took last; used by the publishing thread alone
         self._known_cancelled: set[str] = set()
 
     def stale(self, heartbeat: workers.Heartbeat) -> bool:
@@ -62,7 +73,7 @@
         """
         order = (heartbeat.epoch, heartbeat.sequence)
         with self._lock:
-            if len(self._latest) > REMEMBERED:
+            if len(self._latest) > MAX_REMEMBERED:
                 self._latest.clear()
             if order <= self._latest.get(heartbeat.machine, (-1, -1)):
                 return True
@@ -78,115 +89,128 @@
         """
         now = self._clock()
         with self._lock:
-            until = self._until.get(machine, NEVER)
+            until = self._relayed_until.get(machine, NEVER)
             if until > now:
                 return True
-            sent = self._sent_away.pop(machine, None)
-            if sent is not None and BACK_S < now - sent < RETURN_S:
-                self._until[machine] = now + RELAY_S
+            redirected_at = self._redirected_at.pop(machine, None)
+            if redirected_at is not None and MIN_RETURN_S < now - redirected_at < MAX_RETURN_S:
+                self._relayed_until[machine] = now + RELAY_S
                 return True
-            if leader_unreachable or (left_leader and now - until > AGAIN_S):
-                self._until[machine] = now + FIRST_S
+            if leader_unreachable or (left_leader and now - until > RELAY_AGAIN_S):
+                self._relayed_until[machine] = now + FIRST_RELAY_S
                 return True
-            self._sent_away[machine] = now
-            if len(self._sent_away) > REMEMBERED:
-                self._sent_away = {m: t for m, t in self._sent_away.items() if now - t < RETURN_S}
-                self._until = {m: t for m, t in self._until.items() if now - t < AGAIN_S}
+            self._redirected_at[machine] = now
+            if len(self._redirected_at) > MAX_REMEMBERED:
+                self._redirected_at = {m: t for m, t in self._redirected_at.items() if now - t < MAX_RETURN_S}
+                self._relayed_until = {
+                    m: t for m, t in self._relayed_until.items() if now - t < RELAY_AGAIN_S
+                }
             return False
 
     def note(self, heartbeat: workers.Heartbeat) -> None:
         """Keep a relayed machine's newest heartbeat for the leader."""
         with self._lock:
-            old = self._reports.get(heartbeat.machine)
-            if old is None or (heartbeat.epoch, heartbeat.sequence) > (old[1].epoch, old[1].sequence):
-                if old is None or old[1].tasks != heartbeat.tasks or old[1].epoch != heartbeat.epoch:
+            kept = self._heartbeats.get(heartbeat.machine)
+            if kept is not None:
+                last = kept.heartbeat
+                if (heartbeat.epoch, heartbeat.sequence) <= (last.epoch, last.sequence):
+                    return
+                if last.tasks != heartbeat.tasks or last.epoch != heartbeat.epoch:
                     self._changed = True
-                self._reports[heartbeat.machine] = (self._clock(), heartbeat)
+            else:
+                self._changed = True
+            self._heartbeats[heartbeat.machine] = _KeptHeartbeat(self._clock(), heartbeat)
 
     def commands(self, heartbeat: workers.Heartbeat) -> list[workers.Command]:
-        """What the records say about this machine. The watch cache must be fresher than the heartbeat."""
-        have = {(t.task_id, t.attempt): t for t in heartbeat.tasks}
-        out: list[workers.Command] = []
-        wanted: set[tuple[str, int]] = set()
+        """What the records say about this machine. The watch cache must have been read since the heartbeat
+        arrived."""
+        reported = {(task.task_id, task.attempt): task for task in heartbeat.tasks}
+        commands: list[workers.Command] = []
+        placed: set[tuple[str, int]] = set()
         for job_id, task, attempt, epoch, cancelled in self._watch_cache.placements_on(heartbeat.machine):
             if epoch != heartbeat.epoch:
                 continue
-            task_id = workers.task_name(job_id, task)
-            key = (task_id, attempt)
-            wanted.add(key)
-            if cancelled:
-                if key in have and have[key].phase != workers.ENDED:
-                    out.append(workers.Stop(task_id, attempt, 0.0))
-            elif key not in have:
-                out.append(workers.Start(task_id, attempt))
-        out += [
+            key = (workers.task_name(job_id, task), attempt)
+            placed.add(key)
+            if not cancelled and key not in reported:
+                commands.append(workers.Start(*key))
+            elif cancelled and key in reported and reported[key].phase != workers.ENDED:
+                commands.append(workers.Stop(*key, 0.0))
+        commands += [
             workers.Reap(*key)
-            for key, state in have.items()
-            if key not in wanted and state.phase == workers.ENDED
+            for key, task in reported.items()
+            if key not in placed and task.phase == workers.ENDED
         ]
-        return out
+        return commands
 
     def on_cancelled(self, jobs: Iterable[str]) -> None:
         """Another controller has confirmed the cancellation of these; the watch cache may not know it yet."""
         with self._lock:
-            if len(self._known_cancelled) > REMEMBERED:
+            if len(self._known_cancelled) > MAX_REMEMBERED:
                 self._known_cancelled.clear()  # told early is all that it is: the watch cache will know
             self._known_cancelled.update(jobs)
 
     def stop_commands(self, heartbeat: workers.Heartbeat) -> list[workers.Command]:
-        """The tasks of cancelled jobs on this machine, as far as is known here, on however old a view."""
+        """Stops for the tasks of cancelled jobs on this machine, as far as is known here, however old the
+        view of the store: a cancellation is final."""
         with self._lock:
             known_cancelled = set(self._known_cancelled)
-        out: list[workers.Command] = []
-        for state in heartbeat.tasks:
-            job = (workers.split_task(state.task_id) or ("", 0))[0]
-            if state.phase != workers.ENDED and (
-                job in known_cancelled or self._watch_cache.is_cancelled(job)
-            ):
-                out.append(workers.Stop(state.task_id, state.attempt, 0.0))
-        return out
+        commands: list[workers.Command] = []
+        for task in heartbeat.tasks:
+            job_id = (workers.split_task(task.task_id) or ("", 0))[0]
+            cancelled = job_id in known_cancelled or self._watch_cache.is_cancelled(job_id)
+            if task.phase != workers.ENDED and cancelled:
+                commands.append(workers.Stop(task.task_id, task.attempt, 0.0))
+        return commands
 
     def publish(self) -> list[Put]:
-        """The writes that pass the heartbeats on, or none if there is nothing to say yet."""
+        """The writes that pass the heartbeats on, none if that is not due. Called by one thread."""
         now = self._clock()
         with self._lock:
-            self._reports = {m: r for m, r in self._reports.items() if now - r[0] < 8.0}
-            if not self._reports and not self._keys:
+            self._heartbeats = {
+                machine: kept for machine, kept in self._heartbeats.items() if now - kept.received_at < KEPT_S
+            }
+            if not self._heartbeats and not self._key_count:
                 return []
-            # A relay of many takes more changes, so it speaks less often.
-            pause_s = min(LONGEST_S, CHANGED_S * max(1, self._keys)) if self._changed else UNCHANGED_S
-            if now - self._published < pause_s:
+            if now - self._published_at < self._period_s():
                 return []
-            self._published = now
+            self._published_at = now
             self._changed = False
-            heartbeats = [heartbeat for _, heartbeat in self._reports.values()]
-        texts = mesh.pack_heartbeats(heartbeats, self._limits.value_bytes - 64)
+            heartbeats = [kept.heartbeat for kept in self._heartbeats.values()]
+        texts = mesh.pack_heartbeats(heartbeats, self._limits.value_bytes - ENVELOPE_BYTES)
         at = round(self._wall(), 1)
-        puts = [Put(self._key(n), {"at": at, "reports": text}) for n, text in enumerate(texts)]
-        puts += [Put(self._key(n), None) for n in range(len(texts), self._keys)]
-        self._keys = len(texts)
+        puts = [Put(self._key(number), {"at": at, "reports": text}) for number, text in enumerate(texts)]
+        puts += [Put(self._key(number), None) for number in range(len(texts), self._key_count)]
+        self._key_count = len(texts)
         return puts
 
+    def _period_s(self) -> float:
+        """From one publication to the next. A relay of many machines needs more changes, so it writes less
+        often."""
+        if not self._changed:
+            return UNCHANGED_PERIOD_S
+        return min(MAX_PERIOD_S, CHANGED_PERIOD_S * max(1, self._key_count))
+
     def not_published(self) -> None:
-        """The writes were refused, or it is not known: again soon."""
+        """The writes were refused, or their outcome is unknown: publish again soon."""
         with self._lock:
             self._changed = True
 
-    def _key(self, n: int) -> str:
-        return f"{records.RELAYS}{self._name}/{n}"
+    def _key(self, number: int) -> str:
+        return f"{records.RELAYS}{self._name}/{number}"
 
 
 def heartbeats_in(row: Row, wall: float) -> tuple[str, list[workers.Heartbeat]]:
     """The relay's name and the heartbeats in one of its rows, none if they are old.
 
-    A relay that ends leaves its rows behind. A new leader that took them for news would place work on
-    machines that are long gone.
+    A relay that ends leaves its rows behind. A new leader that took them for current would place work on
+    machines that are long gone. `wall`: the time of day, in seconds.
     """
     name = row.key[len(records.RELAYS) :].partition("/")[0]
-    if row.value is None or wall - row.value["at"] > OLD_S:
+    if row.value is None or wall - row.value["at"] > MAX_AGE_S:
         return name, []
     try:
         return name, mesh.unpack_heartbeats(row.value["reports"])
-    except ValueError as bad:
-        log.error("%s: %s", row.key, bad)
+    except ValueError as error:
+        log.error("unreadable relay row: key=%s error=%s", row.key, error)
         return name, []
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -1326,11 +1326,11 @@
     assert w.heartbeat(worker, other) in (200, 421)
     wait(w, 15.0, fleet=False)
     relay = w.nodes[other].relay
-    before = dict(relay._until), dict(relay._reports)
+    before = dict(relay._relayed_until), dict(relay._heartbeats)
     for _ in range(3):
         w.pass_time(2.0)
         w.replay(copy, other)
-    assert (relay._until, relay._reports) == before
+    assert (relay._relayed_until, relay._heartbeats) == before
     machine = next(iter(w.nodes[leader].scheduler.state.machines.values()))
     assert machine.relay == ""
 
