--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -19,6 +19,7 @@
 from bayford.coordination.api.responses import Reply
 from bayford.coordination.leader.cloud_operations import CloudOperations
 from bayford.coordination.leader.commit_loop import CommitLoop
+from bayford.coordination.leader.round_loop import RoundLoop
 from bayford.coordination.leader.scaling_loop import ScalingLoop
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.leader.summary_writer import SummaryWriter
@@ -55,8 +56,6 @@
 READ_SHARE = 1.8  # in requests: the reads of all controllers take a little over half of the limit at the most
 NOTICE_WAIT_S = 1.0
 NOTICE_RETRY_S = 0.3
-ROUND_PERIOD_S = 0.5  # between two scheduling rounds, if nothing asks for one sooner
-ROUND_GAP_S = 0.08  # between two rounds at least
 
 
 def _no_answer(address: str, body: bytes) -> bytes | None:
@@ -205,6 +204,7 @@
             self.signals,
             self._clock,
         )
+        self._round_loop = RoundLoop(self.scheduler, self.signals)
         writes = self.commit_loop.writes
         self.cloud_operations = CloudOperations(
             cloud,
@@ -306,7 +306,7 @@
         yield "commit", self.commit_loop.step
         yield "verify", self.leadership.verify_step
         yield "cancellations", self._send_notices
-        yield "round", self._round_step
+        yield "round", self._round_loop.step
         yield "scaling", self.scaling_loop.step
         yield "list", self.cloud_operations.list_step
         yield "launch", self.cloud_operations.launch_step
@@ -339,15 +339,6 @@
         self.relay_publisher.publish()
         return period_s
 
-    def _round_step(self) -> float:
-        if self.signals.round.wait(ROUND_PERIOD_S):
-            self.signals.round.clear()
-        if self.scheduler.leader:
-            self.scheduler.round()
-            if self.scheduler.has_pending_writes():
-                self.signals.commit.set()
-        return ROUND_GAP_S
-
     def _send_notices(self) -> float:
         self.notices.wait(NOTICE_WAIT_S)
         return 0.0 if self.notices.send() else NOTICE_RETRY_S
