--- a/bayford/admission/allotment.py
+++ b/bayford/admission/allotment.py
@@ -9,8 +9,8 @@
 
 from bayford.admission.level import Flow
 
-ROUNDS = 60  # of a bisection: enough for any float
-EPSILON = 1e-9
+BISECTION_ROUNDS = 60  # enough for any float
+EPSILON = 1e-9  # jobs a second: less is nothing
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,13 +26,15 @@
 
 
 def water_fill(amount: float, wants: Mapping[str, float], levels: Mapping[str, float]) -> dict[str, float]:
-    """Divide `amount` so that the lowest rise first: each gets at most what it wants, on top of the level
-    that it has, up to one common level."""
+    """Divide `amount` so that the lowest rise first, up to one common level.
+
+    `wants`: the most that each is given. `levels`: what each has already, by the same names.
+    """
     if sum(wants.values()) <= amount:
         return dict(wants)
     low = min(levels.values(), default=0.0)
     high = max((levels[name] + want for name, want in wants.items()), default=0.0)
-    for _ in range(ROUNDS):
+    for _ in range(BISECTION_ROUNDS):
         middle = (low + high) / 2
         if sum(min(want, max(0.0, middle - levels[name])) for name, want in wants.items()) > amount:
             high = middle
@@ -42,12 +44,12 @@
 
 
 class Allotment:
-    """One division of a capacity, in jobs a second."""
+    """One division of a capacity, in jobs a second. Made for one call of `divide`."""
 
     def __init__(
         self, capacity: float, demand: Mapping[Flow, float], guarantees: Mapping[str, float], floors: Floors
     ) -> None:
-        """`guarantees`: jobs a second that each team is given before others are."""
+        """`demand`: what each flow asks for. `guarantees`: jobs a second that are each team's own."""
         self._left = capacity
         self._capacity = capacity
         self._demand = demand
@@ -56,7 +58,7 @@
         self.rates: dict[Flow, float] = dict.fromkeys(demand, 0.0)
 
     def divide(self, exempt: Iterable[str]) -> dict[Flow, float]:
-        """Jobs a second of each flow. `exempt`: teams within their guarantee, which get all they ask for."""
+        """Jobs a second of each flow. `exempt`: teams within their guarantee, given all they ask for."""
         self._give_floors()
         for team in exempt:
             self._give(team, [flow for flow in self._demand if flow.team == team], self._capacity)
@@ -68,7 +70,7 @@
         return max(0.0, self._demand[flow] - self.rates[flow])
 
     def _give(self, team: str, flows: list[Flow], amount: float) -> None:
-        """Give a team so much more, in proportion to what each of these flows of it still wants."""
+        """Give the team at most `amount` more, in proportion to what its own of `flows` still want."""
         wanted = sum(self._wants(flow) for flow in flows if flow.team == team)
         given = min(amount, wanted)
         if given <= EPSILON:
@@ -88,7 +90,9 @@
 
     def _give_floors(self) -> None:
         for priority, job_class in sorted({(flow.priority, flow.job_class) for flow in self._demand}):
-            flows = [f for f in self._demand if (f.priority, f.job_class) == (priority, job_class)]
+            flows = [
+                flow for flow in self._demand if (flow.priority, flow.job_class) == (priority, job_class)
+            ]
             self._divide_among_teams(self._floors.of(job_class) * self._capacity, flows, {})
 
     def _give_priority(self, priority: int) -> None:
--- a/bayford/admission/features.py
+++ b/bayford/admission/features.py
@@ -1,7 +1,7 @@
 """Which controllers keep to the admission level: a level is in force only if all that live do.
 
-Each says so under a key of its own, written with its member key in one transaction under one lease, so that
-whoever reads one sees the other. Releases that know no levels write no such key.
+Each states so under a key of its own, written with its member key in one transaction under one lease, so
+that a reader of one sees the other. Releases without levels write no such key.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,22 +14,27 @@
 
 
 def value(incarnation: str, names: Iterable[str]) -> Any:
-    """What a controller stores of itself."""
+    """The value that a controller stores. `incarnation`: this process of it; `names`: what it keeps to."""
     return {"member": incarnation, "features": sorted(names)}
 
 
 def lacking(members: Iterable[Row], features: Iterable[Row]) -> list[str]:
-    """The live controllers that don't say that they keep to the level."""
-    said: Mapping[str, Any] = {row.key[len(records.FEATURES) :]: row.value for row in features}
-    names = {row.key[len(records.MEMBERS) :]: row.value for row in members}
-    return sorted(name for name, incarnation in names.items() if not _keeps(said.get(name), incarnation))
+    """The live controllers that don't state that they keep to the level, sorted by name.
+
+    Both kinds of rows have to be of one revision.
+    """
+    stated: Mapping[str, Any] = {row.key[len(records.FEATURES) :]: row.value for row in features}
+    incarnations = {row.key[len(records.MEMBERS) :]: row.value for row in members}
+    return sorted(
+        name for name, incarnation in incarnations.items() if not _keeps(stated.get(name), incarnation)
+    )
 
 
-def _keeps(told: Any, incarnation: str) -> bool:
-    """Whether it is this process of the controller that says so, and not one before it."""
+def _keeps(stated: Any, incarnation: str) -> bool:
+    """Whether this process of the controller, and not an earlier one, stated that it keeps to levels."""
     return (
-        isinstance(told, dict)
-        and told.get("member") == incarnation
-        and isinstance(told.get("features"), list)
-        and ADMISSION in told["features"]
+        isinstance(stated, dict)
+        and stated.get("member") == incarnation
+        and isinstance(stated.get("features"), list)
+        and ADMISSION in stated["features"]
     )
--- a/bayford/admission/level_report.py
+++ b/bayford/admission/level_report.py
@@ -7,7 +7,7 @@
 import msgspec
 import orjson
 
-from bayford.admission.level import OTHER_CLASS, POSITIONS, Level
+from bayford.admission.level import POSITIONS, Level
 from bayford.scheduling.model import PRIORITIES
 
 TEMPLATE = """\
@@ -21,7 +21,7 @@
   {{ "%.1f" | format(level.accept_rps) }} acceptances a second at all controllers together
 {%- endif %}
 {%- for window in level.windows | sort(attribute="priority", reverse=true) %}
-  {{ window.job_class or "other classes" }} ({{ window.priority | rank }}) of {{ window.team }}: \
+  {{ window.job_class or "other classes" }} ({{ window.priority | priority_name }}) of {{ window.team }}: \
 {{ "%.1f" | format(window | percent) }}% admitted at a time
 {%- endfor %}
 {%- endif %}
@@ -35,35 +35,35 @@
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(wall)) + " UTC"
 
 
-def _rank(priority: int) -> str:
+def _priority_name(priority: int) -> str:
     return PRIORITIES[priority] if 0 <= priority < len(PRIORITIES) else str(priority)
 
 
 def as_text(level: Level | None, lacking: list[str]) -> str:
-    """For a terminal."""
+    """For a terminal. `lacking`: the controllers that keep to no level."""
     environment = jinja2.Environment(undefined=jinja2.StrictUndefined, autoescape=False)
     environment.filters |= {
         "at": _at,
-        "rank": _rank,
+        "priority_name": _priority_name,
         "percent": lambda window: 100.0 * window.width / POSITIONS,
     }
     return environment.from_string(TEMPLATE).render(level=level, lacking=lacking).strip("\n")
 
 
 def as_json(level: Level | None, lacking: list[str]) -> str:
-    """For programs. The hash key stays out: who knows it can choose ids that are admitted."""
-    row: dict[str, Any] | None = None
+    """For programs. Without the hash key: with it users could choose ids that are admitted."""
+    fields: dict[str, Any] | None = None
     if level is not None:
-        row = msgspec.to_builtins(level)
-        del row["key"]
-        row["windows"] = [
+        fields = msgspec.to_builtins(level)
+        del fields["key"]
+        fields["windows"] = [
             {
-                "priority": _rank(window.priority),
-                "class": window.job_class or OTHER_CLASS,
+                "priority": _priority_name(window.priority),
+                "class": window.job_class,
                 "team": window.team,
                 "admitted": window.width / POSITIONS,
             }
             for window in level.windows
         ]
-    found = {"level": row, "in_force": level is not None and not lacking, "lacking": lacking}
-    return orjson.dumps(found, option=orjson.OPT_INDENT_2).decode()
+    report = {"level": fields, "in_force": level is not None and not lacking, "lacking": lacking}
+    return orjson.dumps(report, option=orjson.OPT_INDENT_2).decode()
--- a/bayford/coordination/leader/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -1,17 +1,17 @@
 """The leader's part of admission: what it knows of the load, and the level that it publishes.
 
-The decisions are those of `admission.control`. Called by one thread, but for the counts of accepted jobs.
+The decisions are those of `admission.control`. Imported and made only where admission is on.
 """
 
 import logging
 import secrets
 import threading
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass
+from collections.abc import Callable
 
 from bayford.admission.allotment import Floors
 from bayford.admission.control import AdmissionTimes, LevelControl, Load
 from bayford.admission.distinct import DistinctDemand, Sample
+from bayford.admission.facts import TaskLogFacts, WorkloadFacts
 from bayford.admission.level import KEY_BYTES, Flow, Level, encode
 from bayford.admission.load import AcceptanceCapacity, Rates
 from bayford.config import Team
@@ -22,62 +22,54 @@
 from bayford.storage import records
 from bayford.storage.key_value_store import Put
 
-log = logging.getLogger("bayford.admission")
-
-
-@dataclass(frozen=True, slots=True)
-class WorkloadFacts:
-    """What the leader's state says of the accepted work."""
-
-    over_guarantee: frozenset[str]  # teams whose open work exceeds their guaranteed CPUs
-    backlog_s: Mapping[int, float]  # by priority, with those above; empty while the fleet can grow
-
-
-@dataclass(frozen=True, slots=True)
-class TaskLogFacts:
-    """How the task log fares beside the acceptances."""
-
-    refused: int  # transactions refused since the start
-    lag_s: float  # how far it is behind
+log = logging.getLogger(__name__)
 
 
 class AdmissionControl:
-    """Levels of this controller's terms as leader."""
+    """Levels of this controller's terms as leader.
+
+    `note_accepted` may be called by any thread, also under the lock of the leader's state; all else is called
+    by the admission thread alone, without that lock.
+    """
 
     def __init__(self, policy: Policy, teams: list[Team], limits: StoreLimits) -> None:
+        """`limits`: those of the state service, read anew at each use since they may change."""
         self._limits = limits
-        self._share = policy.admission_accept_share
+        self._accept_share = policy.admission_accept_share
         self._times = AdmissionTimes(
-            policy.admission_interval_s,
-            policy.admission_window_s,
-            policy.admission_turn_s,
-            policy.admission_enter,
-            policy.admission_leave,
-            policy.admission_clear_s,
-            policy.admission_backlog_s,
-            Floors(policy.admission_floor, policy.admission_floors),
+            interval_s=policy.admission_interval_s,
+            window_s=policy.admission_window_s,
+            turn_s=policy.admission_turn_s,
+            enter=policy.admission_enter,
+            leave=policy.admission_leave,
+            clear_s=policy.admission_clear_s,
+            backlog_s=policy.admission_backlog_s,
+            floors=Floors(policy.admission_floor, policy.admission_floors),
         )
-        self._weights = _weights(teams)
-        self._lock = threading.Lock()
+        self._guarantee_shares = _guarantee_shares(teams)
+        self._lock = threading.Lock()  # guards all that `_begin` makes anew, and the term
         self._control = LevelControl(self._times)
         self._term = -1
         self._begin(0.0)
 
     def _begin(self, now: float) -> None:
+        """Begin a term: what was measured in an earlier one counts no more."""
         self._control.begin(now)
-        self._capacity = AcceptanceCapacity(self._share * self._limits.write_rps, self._limits.write_rps)
+        self._capacity = AcceptanceCapacity(
+            self._accept_share * self._limits.write_rps, self._limits.write_rps
+        )
         self._demand = DistinctDemand(self._times.window_s)
         self._accepted: Rates[Flow] = Rates(self._times.window_s)
-        self._task_log_refused: int | None = None
-        self._updated = now
+        self._task_log_refused: int | None = None  # as of the last update of the capacity
+        self._capacity_updated_at = now
 
     def note_accepted(self, flow: Flow, now: float) -> None:
-        """A job has become known to the leader."""
+        """A job has become known to the leader. Any thread, also under the lock of the leader's state."""
         with self._lock:
             self._accepted.note(flow, now)
 
     def note_submitted(self, controller: str, sample: Sample, now: float) -> None:
-        """What a controller says of the jobs submitted there."""
+        """Add a controller's sample of the jobs submitted there."""
         with self._lock:
             self._demand.merge(controller, sample, now)
 
@@ -90,18 +82,23 @@
         now: float,
         wall: float,
     ) -> Put | None:
-        """The level to write now, if any, under the term and the version of the level in `view`.
+        """The level to write now, if any; its write has to depend on the term and on the version in `view`.
 
+        `now` is of the steady clock, `wall` the time of day.
         `work` takes the lock of the leader's state, under which accepted jobs are noted here: it is called
-        before our own lock is taken, or two threads could wait for each other.
+        while the lock of this object is free, or two threads could wait for each other. It is not called
+        when no level is due.
         """
-        if view.lacking or (term == self._term and not self._control.is_due(now)):
+        if view.lacking:
             return None
-        facts = work()
         with self._lock:
             if term != self._term:
                 self._term = term
                 self._begin(now)
+            if not self._control.is_due(now):
+                return None
+        facts = work()
+        with self._lock:
             self._update_capacity(view.level is not None and not view.level.is_open, task_log, now)
             load = self._load(facts, now)
             level = self._control.next_level(view.level, load, now, wall, secrets.token_hex(KEY_BYTES))
@@ -111,7 +108,7 @@
         return Put(records.ADMISSION, encode(level, self._limits.value_bytes))
 
     def task_log_rps(self, view: LevelView) -> float | None:
-        """Changes a second that the task log has to keep to under this level, None for what it always has."""
+        """Changes a second that this level leaves to the task log, None if it sets no limit."""
         level = view.in_force
         if level is None or not level.accept_rps:
             return None
@@ -119,48 +116,48 @@
             return self._capacity.task_log_rps()
 
     def not_written(self) -> None:
-        """The last level was refused, or nobody knows: the next one need not wait for its time."""
+        """The write of the last level failed, or its outcome is unknown: the next one is due at once."""
         with self._lock:
             self._control.not_published()
 
     def _update_capacity(self, refusing: bool, task_log: TaskLogFacts, now: float) -> None:
-        if now - self._updated < self._times.interval_s:
+        if now - self._capacity_updated_at < self._times.interval_s:
             return
-        self._updated = now
+        self._capacity_updated_at = now
         refused = 0 if self._task_log_refused is None else task_log.refused - self._task_log_refused
         self._task_log_refused = task_log.refused
         self._capacity.update(refusing, refused, task_log.lag_s)
 
     def _load(self, work: WorkloadFacts, now: float) -> Load:
-        # Acceptances are no demand: after a flood those who still repeat are accepted.
-        demand, accepted = self._demand.rates(now), self._accepted.rates(now)
-        capacity = self._capacity.per_s
-        guarantees = {team: self._capacity.kept_up * weight for team, weight in self._weights.items()}
+        kept_up = self._capacity.kept_up
         return Load(
-            demand,
-            accepted,
-            capacity,
-            self._capacity.kept_up,
-            guarantees,
-            work.over_guarantee,
-            work.backlog_s,
+            # Not the acceptances: after a flood these include jobs that were submitted long before.
+            demand=self._demand.rates(now),
+            accepted=self._accepted.rates(now),
+            capacity=self._capacity.per_s,
+            kept_up=kept_up,
+            guarantees={team: kept_up * share for team, share in self._guarantee_shares.items()},
+            over_guarantee=work.over_guarantee,
+            backlog_s=work.backlog_s,
         )
 
     @staticmethod
     def _log_change(before: Level | None, level: Level, load: Load) -> None:
         if before is None or before.is_open != level.is_open or before.reason != level.reason:
-            what = f"refusing for {level.reason}" if not level.is_open else "admitting everything"
             log.info(
-                "admission level %d: %s; %.1f new jobs a second, capacity %.1f, %d flows in part",
+                "admission level published: number=%d state=%s reason=%s new_jobs_per_s=%.1f "
+                "capacity_per_s=%.1f limited_flows=%d",
                 level.number,
-                what,
+                "open" if level.is_open else "refusing",
+                level.reason or "none",
                 sum(load.demand.values()),
                 load.capacity,
                 len(level.windows),
             )
         else:
             log.debug(
-                "admission level %d: %.1f new jobs a second, %.1f accepted, capacity %.1f; %s",
+                "admission level published: number=%d new_jobs_per_s=%.1f accepted_per_s=%.1f "
+                "capacity_per_s=%.1f windows=%s",
                 level.number,
                 sum(load.demand.values()),
                 sum(load.accepted.values()),
@@ -170,26 +167,26 @@
 
 
 def encode_sample(sample: Sample) -> mesh.Submitted:
-    """A sample as the other controllers are told of it."""
+    """A sample as it is sent to the other controllers: each flow once, the jobs with indices of flows."""
     flows = sorted(set(sample.jobs.values()))
     index = {flow: n for n, flow in enumerate(flows)}
-    words = [(flow.priority, flow.job_class, flow.team) for flow in flows]
-    return mesh.Submitted(sample.threshold, words, [(key, index[flow]) for key, flow in sample.jobs.items()])
+    rows = [(flow.priority, flow.job_class, flow.team) for flow in flows]
+    return mesh.Submitted(sample.threshold, rows, [(key, index[flow]) for key, flow in sample.jobs.items()])
 
 
-def decode_sample(told: mesh.Submitted) -> Sample:
-    """The inverse; jobs of flows that are not told are left out."""
-    flows = [Flow(priority, job_class, team) for priority, job_class, team in told.flows]
-    jobs = {key: flows[n] for key, n in told.jobs if 0 <= n < len(flows)}
-    return Sample(max(1, told.threshold), jobs)
+def decode_sample(submitted: mesh.Submitted) -> Sample:
+    """The inverse; jobs with the index of no flow are left out."""
+    flows = [Flow(priority, job_class, team) for priority, job_class, team in submitted.flows]
+    jobs = {key: flows[n] for key, n in submitted.jobs if 0 <= n < len(flows)}
+    return Sample(max(1, submitted.threshold), jobs)
 
 
-def _weights(teams: list[Team]) -> dict[str, float]:
-    """Of each team the part of all guarantees that is its own."""
+def _guarantee_shares(teams: list[Team]) -> dict[str, float]:
+    """Each team's share of all guarantees, 0 to 1; CPUs and GPUs count alike."""
     cpus = sum(team.cpus for team in teams)
     gpus = sum(team.gpus for team in teams)
-    parts = {
+    sums = {
         team.name: (team.cpus / cpus if cpus else 0.0) + (team.gpus / gpus if gpus else 0.0) for team in teams
     }
-    total = sum(parts.values())
-    return {name: part / total if total else 0.0 for name, part in parts.items()}
+    total = sum(sums.values())
+    return {name: part / total if total else 0.0 for name, part in sums.items()}
