--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -6,18 +6,14 @@
 import time
 from collections.abc import Callable
 
+from bayford.admission.facts import TaskLogFacts
 from bayford.admission.features import ADMISSION
 from bayford.config import Settings
 from bayford.coordination.api.admission_gate import AdmissionGate
 from bayford.coordination.api.cancellation_notices import CancellationNotices, Notify
 from bayford.coordination.api.job_requests import JobRequests
 from bayford.coordination.api.responses import Reply
-from bayford.coordination.leader.admission_control import (
-    AdmissionControl,
-    TaskLogFacts,
-    decode_sample,
-    encode_sample,
-)
+from bayford.coordination.leader.admission_control import AdmissionControl, decode_sample, encode_sample
 from bayford.coordination.leader.autoscaler import ScalingActions
 from bayford.coordination.leader.cloud_operations import CloudOperations
 from bayford.coordination.leader.commit_batch import CommitBatch
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -13,9 +13,9 @@
 import random
 from collections.abc import Callable, Mapping
 
+from bayford.admission.facts import WorkloadFacts
 from bayford.config import Settings
 from bayford.coordination.leader import workload
-from bayford.coordination.leader.admission_control import WorkloadFacts
 from bayford.coordination.leader.autoscaler import Autoscaler
 from bayford.coordination.leader.group_commit import GroupCommit
 from bayford.coordination.leader.heartbeat_handler import HeartbeatHandler
--- a/bayford/coordination/leader/workload.py
+++ b/bayford/coordination/leader/workload.py
@@ -1,7 +1,7 @@
 """What the leader's state says of accepted work, for admission: who is beyond a guarantee, and the
 backlog."""
 
-from bayford.coordination.leader.admission_control import WorkloadFacts
+from bayford.admission.facts import WorkloadFacts
 from bayford.coordination.leader.leader_state import LeaderState
 from bayford.scheduling.model import EPS, Job
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,9 +15,9 @@
 from bayford import cli
 from bayford.admission import choice, features, level_report
 from bayford.admission.allotment import Allotment, Floors
-from bayford.admission.choice import decide, levels_until, most_levels, position
+from bayford.admission.choice import decide, levels_to_admission, max_levels_to_admission, position
 from bayford.admission.control import BACKLOG, SUBMISSIONS, AdmissionTimes, LevelControl, Load
-from bayford.admission.distinct import MOST_SAMPLED, DistinctDemand, SubmittedJobs
+from bayford.admission.distinct import MAX_SAMPLED, DistinctDemand, SubmittedJobs
 from bayford.admission.level import (
     POSITIONS,
     Flow,
@@ -61,10 +61,10 @@
 def test_a_refusal_says_when_the_window_comes():
     level = HALF
     for name in IDS[:200]:
-        left = levels_until(level, level.windows[0], position(KEY, name))
+        left = levels_to_admission(level, level.windows[0], position(KEY, name))
         decision = decide(level, SWEEP, name)
         assert decision.admitted == (left == 0)
-        assert decision.admitted or 1 <= decision.retry_after_s <= choice.MOST_RETRY_S
+        assert decision.admitted or 1 <= decision.retry_after_s <= choice.MAX_RETRY_S
         later, window = level, level.windows[0]
         for _ in range(left):
             assert not window.admits(position(KEY, name))
@@ -76,10 +76,10 @@
 def test_whoever_repeats_is_admitted_after_a_bounded_number_of_levels(floor):
     """The narrowest windows, by running them; the bound is the one that docs/admission.md states."""
     least = window_width(floor, TIMES.turn_s)
-    bound = most_levels(floor, TIMES.interval_s, TIMES.turn_s)
+    bound = max_levels_to_admission(floor, TIMES.interval_s, TIMES.turn_s)
     level = msgspec.structs.replace(HALF, windows=(Window(1, "sweep", "red", 7, least),))
     for where in (0, 6, 7, least + 6, least + 7, POSITIONS - 1):
-        assert levels_until(level, level.windows[0], where) < bound
+        assert levels_to_admission(level, level.windows[0], where) < bound
 
 
 def test_no_sequence_of_widths_leaves_a_position_out():
@@ -158,7 +158,11 @@
         for _ in range(int(seconds * 2)):
             self.now += 0.5
             key = KEY if self.level is None else "08" * 32  # a new one counts when refusing begins
-            found = self.control.next_level(self.level, self.load, self.now, 1e9 + self.now, key)
+            found = (
+                self.control.next_level(self.level, self.load, self.now, 1e9 + self.now, key)
+                if self.control.is_due(self.now)
+                else None
+            )
             if found is not None:
                 self.level = found
                 self.levels.append(found)
@@ -255,7 +259,7 @@
             nodes[rng.choice(list(nodes))].note(SWEEP, again, now)
         for name, node in nodes.items():
             sample = node.recent(now)
-            assert len(sample.jobs) <= MOST_SAMPLED
+            assert len(sample.jobs) <= MAX_SAMPLED
             demand.merge(name, decode_sample(encode_sample(sample)), now)
     assert 30 < demand.rates(99.0)[SWEEP] < 50
     assert demand.rates(150.0) == {}
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -11,8 +11,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from bayford.admission.choice import decide
+from bayford.admission.facts import TaskLogFacts, WorkloadFacts
 from bayford.admission.level import POSITIONS, Flow, Level, Window, encode
-from bayford.coordination.leader.admission_control import TaskLogFacts, WorkloadFacts
 from bayford.protocol import jobs
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
