--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -1,7 +1,9 @@
 """Admission at one controller: the leader's level applied to each submission that is not known yet.
 
-Whatever it answers rests on one revision of the watch cache, read after the submission came. What it admits
-is conditional on the level's version, so that it stands under the level in force when it is written.
+Each answer rests on one revision of the watch cache, read after the submission came. An admission is
+conditional on the level's version, so that it holds under the level in force when it is written.
+
+Imported only where admission is on.
 """
 
 import logging
@@ -21,9 +23,9 @@
 from bayford.storage.key_value_store import Row
 from bayford.storage.watch_cache import WatchCache
 
-log = logging.getLogger("bayford.admission")
+log = logging.getLogger(__name__)
 
-# When a submission comes back that is admitted, but not within the pace.
+# When to submit again a job that is admitted but exceeds the rate of acceptances.
 URGENT_PACED_RETRY_S, PACED_RETRY_S = 1, 5
 TOO_MANY_REQUESTS = 429
 SERVICE_UNAVAILABLE = 503
@@ -31,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What becomes of a submission: a refusal, or the conditions under which it may be written."""
+    """The decision on a submission: a refusal, or the conditions under which it may be written."""
 
     refusal: Reply | None
-    conditions: dict[str, int]
+    conditions: dict[str, int]  # versions that keys have to stand at
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,8 +45,8 @@
 
     level: Level | None  # None: there is none, or none that can be read
     version: int  # of its key, 0 if there is none
-    lacking: tuple[str, ...]  # controllers that don't keep to it: it is not in force
-    controllers: int  # that live
+    lacking: tuple[str, ...]  # live controllers that don't keep to levels: this one is not in force
+    controllers: int  # how many live
 
     @property
     def in_force(self) -> Level | None:
@@ -53,20 +55,24 @@
 
 
 class AdmissionGate:
-    """The choice at this controller, its part of the pace, and the count of what was submitted here."""
+    """The decisions at this controller, its part of the pace, and the sample of what was submitted here.
+
+    Called by any thread; `flow` also under the lock of the leader's state.
+    """
 
     def __init__(
         self, watch_cache: WatchCache, classes: Iterable[str], write_rps: float, clock: Callable[[], float]
     ) -> None:
         """`classes`: those that the deployment names; all others count as one. `write_rps`: changes a second
-        that the state service takes."""
+        that the state service allows."""
         self._watch_cache = watch_cache
         self._classes = frozenset(classes)
         self._clock = clock
-        self._lock = threading.Lock()
-        self._decoded: tuple[int, Level | None] = (0, None)  # version, and what was found there
+        self._lock = threading.Lock()  # guards all below but `_lacking`, which only decides on a log line
+        self._decoded_version = 0
+        self._decoded: Level | None = None  # the level at that version
         self._lacking: tuple[str, ...] = ()
-        self._pace = AcceptanceRateLimiter(write_rps, clock)
+        self._rate_limiter = AcceptanceRateLimiter(write_rps, clock)
         self._submitted = SubmittedJobs()
         self._refused = 0
 
@@ -88,64 +94,68 @@
             with self._lock:
                 self._refused += 1
             return Verdict(_refusal(flow, level, view.version, decision.retry_after_s), conditions)
-        allowed = None
+        level_rate = None
         if level is not None and level.accept_rps:
-            allowed = level.accept_rps / max(1, view.controllers)
+            level_rate = level.accept_rps / max(1, view.controllers)
         urgent = spec.priority >= URGENT
         with self._lock:
-            within_pace = self._pace.take(urgent, allowed)
-        if within_pace:
+            within_rate = self._rate_limiter.take(urgent, level_rate)
+        if within_rate:
             return Verdict(None, conditions)
         text = "more submissions are admitted than can be written in a second"
         retry_after_s = URGENT_PACED_RETRY_S if urgent else PACED_RETRY_S
         return Verdict(Reply(SERVICE_UNAVAILABLE, jobs.error(text), retry_after_s), conditions)
 
     def written(self) -> None:
-        """The state service has taken an acceptance."""
+        """The state service has written an acceptance."""
         with self._lock:
-            self._pace.written()
+            self._rate_limiter.written()
 
     def write_refused(self) -> None:
-        """The state service has refused one."""
+        """The state service has refused an acceptance."""
         with self._lock:
-            self._pace.refused()
+            self._rate_limiter.refused()
 
     def view(self) -> LevelView:
         """The level and the controllers, as of one revision."""
-        row, (members, told) = self._watch_cache.read_together(
+        row, (members, stated_features) = self._watch_cache.read_together(
             records.ADMISSION, (records.MEMBERS, records.FEATURES)
         )
-        missing = tuple(features.lacking(members, told))
+        lacking = tuple(features.lacking(members, stated_features))
         level = None if row is None else self._decode(row)
-        if missing != self._lacking:
-            self._lacking = missing
-            if missing and level is not None and not level.is_open:
-                log.info("the admission level is not in force: %s keep to none", ", ".join(missing))
-        return LevelView(level, 0 if row is None else row.version, missing, len(members))
+        if lacking != self._lacking:
+            self._lacking = lacking
+            if lacking and level is not None and not level.is_open:
+                log.info("admission level not in force: lacking=%s", ",".join(lacking))
+        return LevelView(level, 0 if row is None else row.version, lacking, len(members))
 
     def _decode(self, row: Row) -> Level | None:
+        """The level of the row, None if it can't be read. Each version is decoded once."""
         with self._lock:
-            if self._decoded[0] == row.version:
-                return self._decoded[1]
-            try:
-                level = decode(row.value)
-            except UnreadableLevelError as bad:
-                log.error("%s: %s; everything is admitted", row.key, bad)
-                level = None
-            self._decoded = (row.version, level)
-            return level
+            if self._decoded_version != row.version:
+                self._decoded = _decode_or_log(row)
+                self._decoded_version = row.version
+            return self._decoded
 
     def submitted(self) -> Sample:
-        """The jobs submitted here lately, for the leader."""
+        """The sample of the jobs submitted here lately, for the leader."""
         with self._lock:
             return self._submitted.recent(self._clock())
 
     def refused(self) -> int:
-        """How many submissions were refused for the level since the start."""
+        """How many submissions the level has refused since the start."""
         with self._lock:
             return self._refused
 
 
+def _decode_or_log(row: Row) -> Level | None:
+    try:
+        return decode(row.value)
+    except UnreadableLevelError as error:
+        log.error("admission level unreadable, everything is admitted: key=%s error=%s", row.key, error)
+        return None
+
+
 def _refusal(flow: Flow, level: Level, revision: int, retry_after_s: int) -> Reply:
     body = jobs.refusal(flow.job_class, flow.team, level.reason, level.number, revision)
     return Reply(TOO_MANY_REQUESTS, body, retry_after_s)
--- a/bayford/coordination/api/cancellation_notices.py
+++ b/bayford/coordination/api/cancellation_notices.py
@@ -1,21 +1,25 @@
-"""Notices to the leader of cancellations that were confirmed here.
+"""Notices to the leader of cancellations that were confirmed at this controller.
 
-The leader learns of them by its watch as a rule. Where the state service refuses it, or everybody a moment
-later, this is how it learns of them before the bound on the age of its view makes it stop answering.
+As a rule the leader learns of them from its watch cache. If the state service refuses the leader's reads, or
+all controllers' a moment later, it learns of them by these notices, before the bound on the age of its watch
+cache makes it stop answering.
 """
 
 import logging
 import threading
 from collections.abc import Callable, Mapping
 
-log = logging.getLogger("bayford.cancellations")
+log = logging.getLogger(__name__)
 
-CancellationTimes = dict[str, float]  # job, time of day of its cancellation
-Notify = Callable[[CancellationTimes], bool]  # True once the other controller has them
+CancellationTimes = dict[str, float]  # by job: the time of day of its cancellation
+Notify = Callable[[CancellationTimes], bool]  # True once the other controller has confirmed them
 
 
 class CancellationNotices:
-    """The notices of one controller that the leader has not had yet."""
+    """The notices of one controller that the leader has not confirmed yet.
+
+    `add` may be called by any thread, `wait` and `send` by one that is theirs.
+    """
 
     def __init__(
         self,
@@ -25,13 +29,15 @@
         cancel_s: float,
         wall: Callable[[], float],
     ) -> None:
-        """`notify`: how to reach each other controller. After `cancel_s` a notice is of no use to anybody."""
+        """`name`: this controller. `notify`: how to reach each of the others, by name. `leader`: who leads,
+        empty if nobody does. `cancel_s`: a notice older than so many seconds is of no use and is dropped.
+        `wall`: the time of day."""
         self._name = name
         self.notify = dict(notify)
         self._leader = leader
         self._cancel_s = cancel_s
         self._wall = wall
-        self._lock = threading.Lock()
+        self._lock = threading.Lock()  # guards `_pending`
         self._pending: CancellationTimes = {}
         self._added = threading.Event()
 
@@ -42,19 +48,21 @@
         self._added.set()
 
     def wait(self, timeout_s: float) -> None:
-        """Wait until there is something to send, or for so long."""
+        """Wait until there is a notice to send, at most `timeout_s`."""
         self._added.wait(timeout_s)
         self._added.clear()
 
     def send(self) -> bool:
-        """One attempt; whether nothing is left to send."""
+        """Try once to send all notices; whether none is left. The leader itself sends none."""
         leader = self._leader()
         pending = self._current()
         if not pending:
             return True
         notify = self.notify.get(leader)
         if leader != self._name and (notify is None or not notify(pending)):
-            log.debug("%s is not told of %d cancellations", leader or "nobody", len(pending))
+            log.debug(
+                "cancellation notices not delivered: leader=%s count=%d", leader or "none", len(pending)
+            )
             self._added.set()
             return False
         with self._lock:
@@ -66,5 +74,9 @@
         """The notices that are still of use; the others are dropped."""
         wall = self._wall()
         with self._lock:
-            self._pending = {job: at for job, at in self._pending.items() if wall - at < self._cancel_s}
+            self._pending = {
+                job_id: cancelled_at
+                for job_id, cancelled_at in self._pending.items()
+                if wall - cancelled_at < self._cancel_s
+            }
             return dict(self._pending)
--- a/bayford/coordination/api/job_requests.py
+++ b/bayford/coordination/api/job_requests.py
@@ -1,17 +1,16 @@
 """Submissions, queries and cancellations, answered by any controller.
 
-Each is a transaction on the job's own record, or a read that was sent after the request came; so what one
-controller has told a user, no other contradicts. What can't be known or written now is answered 503 at once.
+Each is a transaction on the job's own record, or a read that was sent after the request came; so no
+controller contradicts what another has answered. What can't be known or written now is answered 503 at once.
 """
 
 import logging
 from collections.abc import Callable, Mapping
 from types import MappingProxyType
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 import msgspec
 
-from bayford.coordination.api.admission_gate import AdmissionGate
 from bayford.coordination.api.responses import Reply
 from bayford.coordination.store_limits import StoreLimits
 from bayford.protocol import jobs
@@ -29,17 +28,22 @@
 )
 from bayford.storage.watch_cache import WatchCache
 
-log = logging.getLogger("bayford.users")
+if TYPE_CHECKING:  # with admission off its libraries are not imported
+    from bayford.coordination.api.admission_gate import AdmissionGate
+
+log = logging.getLogger(__name__)
 
 NO_STATE = "the state service does not answer"
 READ_TIMEOUT_S = 1.2  # users give up on a query after 2 s
 FINAL_RECORD_GROWTH = 64  # bytes that a record may grow by until it is final
+# Attempts against other writers of the same record.
 SUBMIT_ATTEMPTS = 3
 CANCEL_ATTEMPTS = 6
+NO_CONDITIONS: Mapping[str, int] = MappingProxyType({})
 
 
 class Deployment(Protocol):
-    """What is known of the deployment to judge a submission by."""
+    """What is known of the deployment to judge a submission by. Called by any thread."""
 
     def catalog(self) -> list[MachineType]:
         """The machine types of the cloud; none before they are known."""
@@ -49,7 +53,7 @@
 
 
 class JobRequests:
-    """What users ask of one controller."""
+    """What users ask of one controller. Called by any thread; holds no lock and no state of its own."""
 
     def __init__(
         self,
@@ -59,10 +63,10 @@
         limits: StoreLimits,
         wall: Callable[[], float],
         on_cancelled: Callable[[str, float], None],
-        gate: AdmissionGate | None = None,
+        gate: "AdmissionGate | None" = None,
     ) -> None:
-        """`on_cancelled` is told of each cancellation confirmed here, and its time of day. Without a `gate`
-        everything is admitted."""
+        """`wall`: the time of day. `on_cancelled`: called with each job whose cancellation is confirmed here,
+        and when it was. Without a `gate` every valid submission is admitted."""
         self._gate = gate
         self._store = store
         self._watch_cache = watch_cache
@@ -72,55 +76,61 @@
         self._on_cancelled = on_cancelled
 
     def submit(self, body: bytes) -> Reply:
-        """Accept a job: durable before the answer."""
+        """Accept a job: durable before the answer. A job that is known already is answered as it stands."""
         return self._or_unavailable(lambda: self._submit(body))
 
     def query(self, job_id: str) -> Reply:
-        """A job's state, never older than what anybody was told."""
+        """A job's state, never older than what any controller has answered before."""
         return self._or_unavailable(lambda: self._query(job_id))
 
     def cancel(self, job_id: str) -> Reply:
-        """Cancel a job: durable before the answer, and never after it was called done."""
+        """Cancel a job: durable before the answer, and never once the job was answered as done."""
         return self._or_unavailable(lambda: self._cancel(job_id))
 
     @staticmethod
     def _or_unavailable(answer: Callable[[], Reply]) -> Reply:
         try:
             return answer()
-        except UnavailableError as bad:
-            return Reply(503, jobs.error(str(bad)))
+        except UnavailableError as error:
+            return Reply(503, jobs.error(str(error)))
 
     def _read(self) -> None:
-        """Take in a read that is sent from now on."""
+        """Bring the watch cache up to date by a read that is sent from now on.
+
+        UnavailableError: there was no answer in time.
+        """
         if not self._watch_cache.refresh(READ_TIMEOUT_S):
             raise UnavailableError(NO_STATE)
 
     def _write(
-        self, record: records.Record, version: int, conditions: Mapping[str, int] = MappingProxyType({})
+        self, record: records.Record, version: int, conditions: Mapping[str, int] = NO_CONDITIONS
     ) -> bool:
-        """Write a user's change of a record that stands at `version`; False if it has changed since, or if
-        one of the `conditions` does not hold any more."""
+        """Write a user's change of a record that stands at `version`, 0: that does not exist.
+
+        False if it has changed since, or if one of the `conditions` (versions of other keys) does not hold.
+        TooLargeError: it outgrows a value. UnavailableError: it was not written, or that is unknown.
+        """
         key = records.key(record.spec.id)
         value = records.fitted(record, self._limits.value_bytes) if record.over else records.encode(record)
         try:
             outcome = self._store.compare_and_swap({key: version, **conditions}, [Put(key, value)])
-        except TooLargeError as bad:
-            log.error("job %s: %s", record.spec.id, bad)
+        except TooLargeError as error:
+            log.error("job record too large: job=%s error=%s", record.spec.id, error)
             raise
-        except UnavailableError as bad:
-            raise UnavailableError(NO_STATE, bad.refused) from bad
-        except (OutcomeUnknownError, LeaseGoneError) as bad:
-            raise UnavailableError(NO_STATE) from bad
+        except UnavailableError as error:
+            raise UnavailableError(NO_STATE, error.refused) from error
+        except (OutcomeUnknownError, LeaseGoneError) as error:
+            raise UnavailableError(NO_STATE) from error
         if outcome.applied:
             self._watch_cache.apply([Row(key, value, outcome.revision)])
         return outcome.applied
 
     def _accept(self, record: records.Record, conditions: Mapping[str, int]) -> bool:
-        """Write a new job; the gate learns whether the state service keeps up."""
+        """Write a new job, and report to the gate whether the state service keeps up; see `_write`."""
         try:
             applied = self._write(record, 0, conditions)
-        except UnavailableError as bad:
-            if self._gate is not None and bad.refused:
+        except UnavailableError as error:
+            if self._gate is not None and error.refused:
                 self._gate.write_refused()
             raise
         if self._gate is not None:
@@ -130,91 +140,100 @@
     def _submit(self, body: bytes) -> Reply:
         try:
             spec = jobs.parse_submission(body)
-        except jobs.InvalidError as bad:
-            return Reply(400, jobs.error(str(bad)))
+        except jobs.InvalidError as error:
+            return Reply(400, jobs.error(str(error)))
         for _ in range(SUBMIT_ATTEMPTS):
-            self._read()
-            known = self._watch_cache.job_state(spec.id)
-            if known is not None:
-                return Reply(200, jobs.answer(known))
-            refusal = self._refusal(spec)
-            if refusal is not None:
-                return refusal
-            record = records.Record(self._without_unknown_types(spec), round(self._wall(), 2))
-            size, most = records.size(records.encode(record)) + FINAL_RECORD_GROWTH, self._limits.value_bytes
-            too_large = Reply(
-                400, jobs.error(f"`$`: the job's description takes {size} bytes, more than {most}")
-            )
-            if size > most:
-                return too_large
-            conditions: Mapping[str, int] = {}
-            if self._gate is not None:
-                verdict = self._gate.check(spec)
-                if verdict.refusal is not None:
-                    return verdict.refusal
-                conditions = verdict.conditions
-            try:
-                if self._accept(record, conditions):
-                    return Reply(201, jobs.answer(records.State(record, 0)))
-            except TooLargeError:
-                return too_large
+            reply = self._submit_once(spec)
+            if reply is not None:
+                return reply
         return Reply(503, jobs.error("try again"))
 
+    def _submit_once(self, spec: JobSpec) -> Reply | None:
+        """One attempt; None if the record or the admission level has changed since it was read."""
+        self._read()
+        known = self._watch_cache.job_state(spec.id)
+        if known is not None:
+            return Reply(200, jobs.answer(known))
+        refusal = self._refusal(spec)
+        if refusal is not None:
+            return refusal
+        record = records.Record(self._without_unknown_types(spec), round(self._wall(), 2))
+        size = records.size(records.encode(record)) + FINAL_RECORD_GROWTH
+        max_size = self._limits.value_bytes
+        if size > max_size:
+            return _too_large(size, max_size)
+        conditions = NO_CONDITIONS
+        if self._gate is not None:
+            verdict = self._gate.check(spec)
+            if verdict.refusal is not None:
+                return verdict.refusal
+            conditions = verdict.conditions
+        try:
+            accepted = self._accept(record, conditions)
+        except TooLargeError:
+            return _too_large(size, max_size)
+        return Reply(201, jobs.answer(records.State(record, 0))) if accepted else None
+
     def _without_unknown_types(self, spec: JobSpec) -> JobSpec:
         """The job without machine types that the cloud does not have, so that no record outgrows a value."""
         if spec.types is None:
             return spec
-        known = {kind.name for kind in self._deployment.catalog()}
-        return msgspec.structs.replace(spec, types=sorted(known & set(spec.types)))
+        known_types = {machine_type.name for machine_type in self._deployment.catalog()}
+        return msgspec.structs.replace(spec, types=sorted(known_types & set(spec.types)))
 
     def _refusal(self, spec: JobSpec) -> Reply | None:
-        """Why the job can't be accepted, or None."""
+        """The answer to a job that this deployment can't accept, None if it can."""
         types = self._deployment.catalog()
         if not types:
             return Reply(503, jobs.error("machine types are not known yet"))
-        share = self._deployment.team_quota(spec.team)
-        if share is None:
+        quota = self._deployment.team_quota(spec.team)
+        if quota is None:
             return Reply(422, jobs.error(f"unknown team {spec.team}"))
-        if not share.could_ever(spec):
+        if not quota.could_ever(spec):
             return Reply(422, jobs.error(f"it needs more than the limit of team {spec.team}"))
         zones = _zones_that_fit(spec, types)
         if not zones:
             return Reply(422, jobs.error("a task fits no allowed machine type"))
         if spec.shape != ARRAY and spec.spread and spec.tasks > 1 and (spec.one_zone or len(zones) < 2):
-            # An array's tasks may follow one another; these must all be there at a time.
+            # An array's tasks may follow one another; those of a gang or a service run at the same time.
             return Reply(422, jobs.error("its tasks can't be apart: there is one zone for them"))
         return None
 
     def _query(self, job_id: str) -> Reply:
-        found = self._watch_cache.job_state(job_id) if self._watch_cache.has_job(job_id) else None
+        state = self._watch_cache.job_state(job_id) if self._watch_cache.has_job(job_id) else None
         # Done and cancelled are final: the watch cache is enough for them.
-        if found is None or not found.record.over:
+        if state is None or not state.record.over:
             self._read()
-            found = self._watch_cache.job_state(job_id)
-        if found is None:
+            state = self._watch_cache.job_state(job_id)
+        if state is None:
             return Reply(404, jobs.error("no such job"))
-        return Reply(200, jobs.answer(found))
+        return Reply(200, jobs.answer(state))
 
     def _cancel(self, job_id: str) -> Reply:
         for _ in range(CANCEL_ATTEMPTS):
             self._read()
-            found = self._watch_cache.job_state(job_id)
-            if found is None:
+            state = self._watch_cache.job_state(job_id)
+            if state is None:
                 return Reply(404, jobs.error("no such job"))
-            if found.record.over:
-                return Reply(200, jobs.answer(found))
-            now = round(self._wall(), 2)
-            changed = msgspec.structs.replace(found.record, cancelled=now, done=found.done)
-            if self._write(changed, found.version):
-                self._on_cancelled(job_id, now)
-                return Reply(200, jobs.answer(records.State(changed, 0, 0, found.done)))
+            if state.record.over:
+                return Reply(200, jobs.answer(state))
+            cancelled_at = round(self._wall(), 2)
+            cancelled = msgspec.structs.replace(state.record, cancelled=cancelled_at, done=state.done)
+            if self._write(cancelled, state.version):
+                self._on_cancelled(job_id, cancelled_at)
+                return Reply(200, jobs.answer(records.State(cancelled, 0, 0, state.done)))
         return Reply(503, jobs.error("the job changes too fast, try again"))
 
 
+def _too_large(size: int, max_size: int) -> Reply:
+    """`size`: bytes that the job's record may take until it is final."""
+    return Reply(400, jobs.error(f"`$`: the job's description takes {size} bytes, more than {max_size}"))
+
+
 def _zones_that_fit(spec: JobSpec, types: list[MachineType]) -> set[str]:
     """The zones in which a task of the job fits an allowed machine type."""
     zones: set[str] = set()
-    for kind in types:
-        if (spec.types is None or kind.name in spec.types) and kind.fits(spec):
-            zones.update(zone for zone in kind.zones if spec.zone in (None, zone))
+    for machine_type in types:
+        if (spec.types is None or machine_type.name in spec.types) and machine_type.fits(spec):
+            zones.update(zone for zone in machine_type.zones if spec.zone in (None, zone))
     return zones
--- a/bayford/coordination/api/responses.py
+++ b/bayford/coordination/api/responses.py
@@ -1,12 +1,12 @@
-"""What a request of a user or a worker is answered with, before the transport adds headers."""
+"""The answer to a request of a user or a worker, before the transport adds headers."""
 
 from typing import NamedTuple
 
-RETRY_AFTER_S = 1
+RETRY_AFTER_S = 1  # with a 503 whose `Reply` gives no time of its own
 
 
 class Reply(NamedTuple):
-    """An HTTP status and a JSON body. `retry_after_s`: when to come back, 0 where that is not said."""
+    """An HTTP status and a JSON body. `retry_after_s`: when to try again, in seconds, 0 if not stated."""
 
     status: int
     body: bytes
