--- a/bayford/recovery/task_outcomes.py
+++ b/bayford/recovery/task_outcomes.py
@@ -1,97 +1,104 @@
-"""What becomes of the tasks that were in a zone when it was lost. Pure."""
+"""What becomes of the tasks that were in a zone when it was lost. No I/O; callers lock."""
 
 from dataclasses import dataclass, field
 
-from bayford.recovery.zone_record import Elsewhere, Loss
+from bayford.recovery.zone_record import Loss, RerunTask
 from bayford.storage.task_log import ranges, unrange
 
-TaskKey = tuple[str, int]  # job, number of the task
+TaskKey = tuple[str, int]  # the job's id, the number of the task in it
 
 
 @dataclass(slots=True)
 class TaskOutcomes:
-    """One loss, task by task. Each task has exactly one fate at any time."""
+    """One loss, task by task. Each task has exactly one outcome at any time; `open` until another is noted.
+
+    The `note_` methods return whether the task was open: only then its outcome changes.
+    """
 
     suspected: float  # time of day, as all of these
     lost: float = 0.0
     returned: float = 0.0
     open: set[TaskKey] = field(default_factory=set)
     finished: set[TaskKey] = field(default_factory=set)
-    again: dict[TaskKey, str] = field(default_factory=dict)
+    rerun: dict[TaskKey, str] = field(default_factory=dict)  # the machine that it was placed on
     cancelled: set[TaskKey] = field(default_factory=set)
-    over: set[TaskKey] = field(default_factory=set)  # ended between two leaders, nobody saw where
+    ended_unseen: set[TaskKey] = field(default_factory=set)  # between two leaders: neither saw where
 
-    def _settle(self, key: TaskKey) -> bool:
-        """The task is not open any more; whether it was."""
+    def _close(self, key: TaskKey) -> bool:
+        """Take the task from the open ones; whether it was there."""
         was_open = key in self.open
         self.open.discard(key)
         return was_open
 
     def note_done(self, key: TaskKey) -> bool:
-        """An attempt of the task that was there has ended well; whether that is news."""
-        if not self._settle(key):
+        """An attempt of the task that was there has ended well."""
+        if not self._close(key):
             return False
         self.finished.add(key)
         return True
 
     def note_placed(self, key: TaskKey, machine: str) -> bool:
-        """The task has been placed once more; whether that is news."""
-        if not self._settle(key):
+        """The task has been placed once more."""
+        if not self._close(key):
             return False
-        self.again[key] = machine
+        self.rerun[key] = machine
         return True
 
-    def on_cancelled(self, key: TaskKey) -> bool:
-        """The task's job is cancelled and nothing of it is left there; whether that is news."""
-        if not self._settle(key):
+    def note_cancelled(self, key: TaskKey) -> bool:
+        """The task's job is cancelled and nothing of the task is left on a machine."""
+        if not self._close(key):
             return False
         self.cancelled.add(key)
         return True
 
-    def note_over(self, key: TaskKey) -> bool:
-        """The task was over when the next leader began; whether that is news."""
-        if not self._settle(key):
+    def note_ended_unseen(self, key: TaskKey) -> bool:
+        """The task had ended when the next leader began."""
+        if not self._close(key):
             return False
-        self.over.add(key)
+        self.ended_unseen.add(key)
         return True
 
     def record(self) -> Loss:
-        """As it is stored."""
-        again: dict[str, list[Elsewhere]] = {}
-        for (job, task), machine in sorted(self.again.items()):
-            again.setdefault(job, []).append(Elsewhere(task, machine))
+        """The loss as it is stored."""
+        rerun: dict[str, list[RerunTask]] = {}
+        for (job_id, task), machine in sorted(self.rerun.items()):
+            rerun.setdefault(job_id, []).append(RerunTask(task, machine))
         return Loss(
-            self.suspected,
-            self.lost,
-            self.returned,
-            _by_job(self.open),
-            _by_job(self.finished),
-            again,
-            _by_job(self.cancelled),
-            _by_job(self.over),
+            suspected=self.suspected,
+            lost=self.lost,
+            returned=self.returned,
+            open=_ranges_by_job(self.open),
+            finished=_ranges_by_job(self.finished),
+            rerun=rerun,
+            cancelled=_ranges_by_job(self.cancelled),
+            ended_unseen=_ranges_by_job(self.ended_unseen),
         )
 
     @staticmethod
     def of(loss: Loss) -> "TaskOutcomes":
-        """From what is stored."""
+        """From the loss as it is stored; tasks that it only counts are left out."""
         return TaskOutcomes(
-            loss.suspected,
-            loss.lost,
-            loss.returned,
-            _keys(loss.open),
-            _keys(loss.finished),
-            {(job, e.task): e.machine for job, found in loss.again.items() for e in found},
-            _keys(loss.cancelled),
-            _keys(loss.over),
+            suspected=loss.suspected,
+            lost=loss.lost,
+            returned=loss.returned,
+            open=_keys(loss.open),
+            finished=_keys(loss.finished),
+            rerun={
+                (job_id, rerun.task): rerun.machine
+                for job_id, reruns in loss.rerun.items()
+                for rerun in reruns
+            },
+            cancelled=_keys(loss.cancelled),
+            ended_unseen=_keys(loss.ended_unseen),
         )
 
 
-def _by_job(keys: set[TaskKey]) -> dict[str, list[int]]:
-    jobs: dict[str, list[int]] = {}
-    for job, task in keys:
-        jobs.setdefault(job, []).append(task)
-    return {job: ranges(tasks) for job, tasks in sorted(jobs.items())}
+def _ranges_by_job(keys: set[TaskKey]) -> dict[str, list[int]]:
+    tasks_by_job: dict[str, list[int]] = {}
+    for job_id, task in keys:
+        tasks_by_job.setdefault(job_id, []).append(task)
+    return {job_id: ranges(tasks) for job_id, tasks in sorted(tasks_by_job.items())}
 
 
-def _keys(jobs: dict[str, list[int]]) -> set[TaskKey]:
-    return {(job, task) for job, flat in jobs.items() for task in unrange(flat)}
+def _keys(ranges_by_job: dict[str, list[int]]) -> set[TaskKey]:
+    return {(job_id, task) for job_id, flat in ranges_by_job.items() for task in unrange(flat)}
--- a/bayford/recovery/zone_report.py
+++ b/bayford/recovery/zone_report.py
@@ -7,7 +7,15 @@
 import msgspec
 import orjson
 
-from bayford.recovery.zone_record import Loss, ZoneRecord
+from bayford.recovery.zone_record import (
+    CANCELLED,
+    ENDED_UNSEEN,
+    FINISHED,
+    OPEN,
+    RERUN,
+    Loss,
+    ZoneRecord,
+)
 
 TEMPLATE = """\
 {%- for zone in zones %}
@@ -16,7 +24,7 @@
 {%- for loss in zone.losses %}
   suspected {{ loss.suspected | at }}, lost {{ loss.lost | at }}, {{ loss.returned | back }}
     {{ loss | totals }}
-  {%- for line in loss | fates %}
+  {%- for line in loss | outcomes %}
     {{ line }}
   {%- endfor %}
 {%- else %}
@@ -37,6 +45,7 @@
 
 
 def _ranges(flat: list[int]) -> str:
+    """Task numbers in words. `flat`: first, last, first, last, …"""
     pairs = zip(flat[::2], flat[1::2], strict=True)
     return ", ".join(str(first) if first == last else f"{first}-{last}" for first, last in pairs)
 
@@ -45,41 +54,41 @@
     totals = loss.totals()
     tasks = sum(totals.values())
     return (
-        f"{tasks} tasks: {totals.get('finished', 0)} finished there, {totals.get('again', 0)} run again, "
-        f"{totals.get('cancelled', 0)} cancelled, {totals.get('over', 0)} over when an owner began, "
-        f"{totals.get('open', 0)} open"
+        f"{tasks} tasks: {totals.get(FINISHED, 0)} finished there, {totals.get(RERUN, 0)} run again, "
+        f"{totals.get(CANCELLED, 0)} cancelled, {totals.get(ENDED_UNSEEN, 0)} over when an owner began, "
+        f"{totals.get(OPEN, 0)} open"
     )
 
 
 def _outcomes(loss: Loss) -> list[str]:
-    out = [
-        f"{job} run again: {', '.join(f'{e.task} on {e.machine}' for e in found)}"
-        for job, found in loss.again.items()
+    lines = [
+        f"{job_id} run again: {', '.join(f'{rerun.task} on {rerun.machine}' for rerun in reruns)}"
+        for job_id, reruns in loss.rerun.items()
     ]
-    outcomes = {
+    by_outcome = {
         "finished there": loss.finished,
         "cancelled": loss.cancelled,
-        "over when an owner began": loss.over,
+        "over when an owner began": loss.ended_unseen,
         "open": loss.open,
     }
-    for fate, jobs in outcomes.items():
-        out += [f"{job} {fate}: {_ranges(flat)}" for job, flat in jobs.items()]
-    return out
+    for outcome, jobs in by_outcome.items():
+        lines += [f"{job_id} {outcome}: {_ranges(flat)}" for job_id, flat in jobs.items()]
+    return lines
 
 
 def as_text(zones: list[ZoneRecord]) -> str:
     """For a terminal."""
     environment = jinja2.Environment(undefined=jinja2.StrictUndefined, autoescape=False)
-    environment.filters |= {"at": _at, "back": _back, "fates": _outcomes, "totals": _totals}
+    environment.filters |= {"at": _at, "back": _back, "outcomes": _outcomes, "totals": _totals}
     return environment.from_string(TEMPLATE).render(zones=zones).strip("\n")
 
 
 def as_json(zones: list[ZoneRecord]) -> str:
     """For programs: the records as they are stored, and totals for each loss."""
-    out: list[dict[str, Any]] = []
+    reports: list[dict[str, Any]] = []
     for zone in zones:
-        row = msgspec.to_builtins(zone)
-        for told, loss in zip(row["losses"], zone.losses, strict=True):
-            told["totals"] = loss.totals()
-        out.append(row)
-    return orjson.dumps({"zones": out}, option=orjson.OPT_INDENT_2).decode()
+        report = msgspec.to_builtins(zone)
+        for stored_loss, loss in zip(report["losses"], zone.losses, strict=True):
+            stored_loss["totals"] = loss.totals()
+        reports.append(report)
+    return orjson.dumps({"zones": reports}, option=orjson.OPT_INDENT_2).decode()
