--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -20,7 +20,7 @@
     ZoneState,
     ZoneStatus,
     advance,
-    blindness,
+    find_unknown_reason,
 )
 from bayford.scheduling import scaling
 from bayford.scheduling.model import Machine
@@ -52,7 +52,7 @@
     status = ZoneStatus()
     out = []
     for now, facts in looks:
-        unknown = blindness(leader, {NORTH: others, SOUTH: facts}, SOUTH, TIMES)
+        unknown = find_unknown_reason(leader, {NORTH: others, SOUTH: facts}, SOUTH, TIMES)
         status = advance(status, facts, unknown, now, TIMES)
         out.append(status)
     return out
@@ -125,11 +125,15 @@
 
 def test_two_zones_lost_one_after_the_other():
     zones = {NORTH: WELL, SOUTH: SILENT, WEST: WELL}
-    assert blindness(VERIFIED, zones, SOUTH, TIMES) == ""
+    assert find_unknown_reason(VERIFIED, zones, SOUTH, TIMES) == ""
     zones[WEST] = SILENT
-    assert blindness(VERIFIED, zones, WEST, TIMES) == blindness(VERIFIED, zones, SOUTH, TIMES) == ""
+    assert (
+        find_unknown_reason(VERIFIED, zones, WEST, TIMES)
+        == find_unknown_reason(VERIFIED, zones, SOUTH, TIMES)
+        == ""
+    )
     zones[NORTH] = SILENT
-    assert "fault may be here" in blindness(VERIFIED, zones, WEST, TIMES)
+    assert "fault may be here" in find_unknown_reason(VERIFIED, zones, WEST, TIMES)
 
 
 def test_a_zone_without_machines_is_tried_again_after_a_while():
@@ -179,10 +183,10 @@
         elif event == "placed":
             outcomes.note_placed(key, "vm-000001")
         elif event == "cancelled":
-            outcomes.on_cancelled(key)
+            outcomes.note_cancelled(key)
         else:
-            outcomes.note_over(key)
-    found = [outcomes.open, outcomes.finished, set(outcomes.again), outcomes.cancelled, outcomes.over]
+            outcomes.note_ended_unseen(key)
+    found = [outcomes.open, outcomes.finished, set(outcomes.rerun), outcomes.cancelled, outcomes.ended_unseen]
     assert sum(len(keys) for keys in found) == len(set().union(*found)) == len(tasks)
     assert TaskOutcomes.of(outcomes.record()) == outcomes
     losses = [outcomes.record()] * 12
@@ -221,7 +225,7 @@
         0.0,
         {"req-000001": [0, 2]},
         {"req-000002": [1, 1]},
-        {"req-000003": [zone_record.Elsewhere(4, "vm-000009")]},
+        {"req-000003": [zone_record.RerunTask(4, "vm-000009")]},
         {"req-000004": [0, 0, 3, 4]},
     )
     zones = [
@@ -694,9 +698,9 @@
                 sets = [
                     outcomes.open,
                     outcomes.finished,
-                    set(outcomes.again),
+                    set(outcomes.rerun),
                     outcomes.cancelled,
-                    outcomes.over,
+                    outcomes.ended_unseen,
                 ]
                 assert sum(len(found) for found in sets) == len(set().union(*sets))
 
