--- a/bayford/transport/http_client.py
+++ b/bayford/transport/http_client.py
@@ -4,64 +4,74 @@
 import socket
 import threading
 import time
+from typing import NamedTuple
 
 from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
 
-IDLE_S = 20.0
+MAX_IDLE_S = 20.0  # an idle connection is not used again after this
+
+
+class _IdleConnection(NamedTuple):
+    since: float
+    connection: http.client.HTTPConnection
 
 
 class HttpClient:
-    """Keep-alive connections to one address."""
+    """Keep-alive connections to one address. Called by any thread; each call has a connection of its own."""
 
-    def __init__(self, host: str, port: int, most_idle: int = 8, connect_s: float = 1.0) -> None:
+    def __init__(self, host: str, port: int, max_idle: int = 8, connect_s: float = 1.0) -> None:
+        """`max_idle`: connections that are kept for later calls. `connect_s`: the time limit of a connect."""
         self._host = host
         self._port = port
-        self._most_idle = most_idle
+        self._max_idle = max_idle
         self._connect_s = connect_s
-        self._lock = threading.Lock()
-        self._idle: list[tuple[float, http.client.HTTPConnection]] = []
-
-    def _take(self) -> http.client.HTTPConnection | None:
-        with self._lock:
-            while self._idle:
-                since, connection = self._idle.pop()
-                if time.monotonic() - since < IDLE_S:
-                    return connection
-                connection.close()
-        return None
-
-    def _give(self, connection: http.client.HTTPConnection) -> None:
-        with self._lock:
-            if len(self._idle) < self._most_idle:
-                self._idle.append((time.monotonic(), connection))
-                return
-        connection.close()
+        self._lock = threading.Lock()  # guards `_idle`
+        self._idle: list[_IdleConnection] = []  # the one used last at the end
 
     def call(self, method: str, path: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
-        """Send and wait.
+        """Send and wait; the status and the body of the response. `timeout_s`: for each wait on the socket.
 
         UnavailableError: nothing was sent. OutcomeUnknownError: it may be executed, now or later.
         """
-        connection = self._take()
-        if connection is None:
-            connection = http.client.HTTPConnection(self._host, self._port, timeout=self._connect_s)
-            try:
-                connection.connect()
-                connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            except OSError as bad:
-                connection.close()
-                raise UnavailableError(f"{self._host}:{self._port}: {bad!r}") from bad
+        connection = self._take_idle() or self._connect()
         try:
             connection.sock.settimeout(timeout_s)
             headers = {"Content-Type": "application/json"} if body is not None else {}
             connection.request(method, path, body=body, headers=headers)
             response = connection.getresponse()
             data = response.read()
-        except (OSError, http.client.HTTPException, AttributeError) as bad:
+        except (OSError, http.client.HTTPException, AttributeError) as error:
+            # AttributeError: `http.client` sets the socket of a connection that it has closed to None.
             connection.close()
-            raise OutcomeUnknownError(f"{method} {path.partition('?')[0]}: {bad!r}") from bad
+            raise OutcomeUnknownError(f"{method} {path.partition('?')[0]}: {error!r}") from error
         if response.will_close:
             connection.close()
         else:
-            self._give(connection)
+            self._keep(connection)
         return response.status, data
+
+    def _connect(self) -> http.client.HTTPConnection:
+        connection = http.client.HTTPConnection(self._host, self._port, timeout=self._connect_s)
+        try:
+            connection.connect()
+            connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        except OSError as error:
+            connection.close()
+            raise UnavailableError(f"{self._host}:{self._port}: {error!r}") from error
+        return connection
+
+    def _take_idle(self) -> http.client.HTTPConnection | None:
+        with self._lock:
+            while self._idle:
+                idle = self._idle.pop()
+                if time.monotonic() - idle.since < MAX_IDLE_S:
+                    return idle.connection
+                idle.connection.close()
+        return None
+
+    def _keep(self, connection: http.client.HTTPConnection) -> None:
+        with self._lock:
+            if len(self._idle) < self._max_idle:
+                self._idle.append(_IdleConnection(time.monotonic(), connection))
+                return
+        connection.close()
--- a/bayford/transport/http_handlers.py
+++ b/bayford/transport/http_handlers.py
@@ -1,5 +1,7 @@
 """Routes of the front (users, workers, health checks) and of the mesh."""
 
+from typing import Literal, NamedTuple
+
 import msgspec
 
 from bayford.coordination.api.responses import RETRY_AFTER_S, Reply
@@ -10,85 +12,90 @@
 from bayford.transport.http_server import Request, Response
 
 NOT_URGENT_SHARE = 0.75  # of the requests in progress, with admission on
+WORKER_TIMEOUT_S = 4.0  # by the protocol: a worker without an answer has left the connection by then
+
+
+class _UserRoute(NamedTuple):
+    """What a user asks for, and the only method that does."""
+
+    operation: Literal["submit", "query", "cancel"]
+    method: str
+    job_id: str = ""  # as it stands in the path
 
 
 class UserHandler:
-    """Users and workers."""
+    """Requests of users and workers, and health checks. Called by any thread."""
 
     def __init__(self, controller: Controller, limit: ConcurrencyLimit) -> None:
+        """`limit`: of user requests in progress; those of workers and health checks are not counted."""
         self._controller = controller
         self._limit = limit
-        # A worker sends again within a quarter more than `heartbeat_interval_s`, and after 4 s without an
-        # answer it has left. What stays silent for longer is what a cut or a dead machine left behind; a
-        # fleet that comes back from a cut must not find its own old connections in its way.
-        self._worker_idle_s = 2.0 * controller.settings.facts.workers.heartbeat_interval_s + 4.0
+        # A worker sends again within a quarter more than `heartbeat_interval_s`, and after
+        # `WORKER_TIMEOUT_S` without an answer it has left. A connection that is silent for longer is what a
+        # cut or a dead machine left behind; a fleet that comes back from a cut must not find its own old
+        # connections in its way.
+        heartbeat_interval_s = controller.settings.facts.workers.heartbeat_interval_s
+        self._worker_idle_s = 2.0 * heartbeat_interval_s + WORKER_TIMEOUT_S
 
     def handle(self, request: Request) -> Response:
-        """Route one request. Reports and health checks are never shed behind users."""
+        """Route one request. Heartbeats and health checks are never shed behind users."""
         path = request.path.partition("?")[0]
         if path == workers.HEARTBEAT_PATH:
-            if request.method != "POST":
-                return _wrong_method("POST")
-            return self._report(request)
+            return self._heartbeat(request) if request.method == "POST" else _wrong_method("POST")
         if path == jobs.HEALTH_PATH:
-            if request.method != "GET":
-                return _wrong_method("GET")
-            if self._controller.healthy():
-                return Response(200, b'{"ok":true}')
-            return Response(503, b'{"ok":false}')
+            return self._health() if request.method == "GET" else _wrong_method("GET")
         if path == jobs.SUBMIT_PATH or path.startswith(jobs.SUBMIT_PATH + "/"):
             return self._user(request, path)
         return Response(404, jobs.error("no such path"))
 
-    def _report(self, request: Request) -> Response:
+    def _health(self) -> Response:
+        if self._controller.healthy():
+            return Response(200, b'{"ok":true}')
+        return Response(503, b'{"ok":false}')
+
+    def _heartbeat(self, request: Request) -> Response:
         try:
             heartbeat = workers.parse_heartbeat(request.body)
-        except jobs.InvalidError as bad:
-            return Response(400, jobs.error(str(bad)))
+        except jobs.InvalidError as error:
+            return Response(400, jobs.error(str(error)))
         reply = self._controller.heartbeat(heartbeat, request.after, hold=not request.crowded)
         # A fleet of more machines than there may be connections takes turns: each is answered at once and
-        # makes room. Otherwise those that came last would find no place until a lease has run out.
+        # makes room. Otherwise those that came last would find no place until a lease has expired.
         return Response(reply.status, reply.body, idle_s=0.0 if request.crowded else self._worker_idle_s)
 
     def _user(self, request: Request, path: str) -> Response:
-        rest = path[len(jobs.SUBMIT_PATH) :].strip("/").split("/")
-        if rest == [""]:
-            allowed = "POST"
-        elif len(rest) == 1:
-            allowed = "GET"
-        elif len(rest) == 2 and rest[1] == jobs.CANCEL:
-            allowed = "POST"
-        else:
+        route = _user_route(path)
+        if route is None:
             return Response(404, jobs.error("no such path"))
-        if request.method != allowed:
-            return _wrong_method(allowed)
-        if rest != [""] and jobs.job_id(rest[0]) is None:
+        if request.method != route.method:
+            return _wrong_method(route.method)
+        if route.operation != "submit" and jobs.job_id(route.job_id) is None:
             return Response(404, jobs.error("no such job"))
-        # A request that can't be taken is answered at once, with when to come back.
-        with self._limit.enter(self._share(request, rest)) as entered:
+        # A request that exceeds the limit is answered at once, with when to try again.
+        with self._limit.enter(self._share(request, route)) as entered:
             if entered:
-                response = self._serve(request, rest)
+                response = self._serve(request, route)
             else:
                 response = _later(jobs.error("too many requests in progress"))
         if request.crowded:
             response.idle_s = 0.0  # users' connections must not shut out the workers
         return response
 
-    def _share(self, request: Request, rest: list[str]) -> float:
+    def _share(self, request: Request, route: _UserRoute) -> float:
         """How much of the limit is open to the request. Submissions that are not urgent leave a part to those
-        that are, and to questions and cancellations."""
-        if rest != [""] or not self._controller.admission_on:
+        that are, and to queries and cancellations."""
+        if route.operation != "submit" or not self._controller.admission_on:
             return 1.0
         return 1.0 if jobs.priority_of(request.body) >= URGENT else NOT_URGENT_SHARE
 
-    def _serve(self, request: Request, rest: list[str]) -> Response:
+    def _serve(self, request: Request, route: _UserRoute) -> Response:
         reply: Reply
-        if rest == [""]:
+        if route.operation == "submit":
             reply = self._controller.submit(request.body)
-        elif len(rest) == 1:
-            reply = self._controller.query(rest[0])
+        elif route.operation == "query":
+            reply = self._controller.query(route.job_id)
         else:
-            reply = self._controller.cancel(rest[0])
+            reply = self._controller.cancel(route.job_id)
         if reply.retry_after_s:
             return _later(reply.body, reply.status, reply.retry_after_s)
         if reply.status == 503:
@@ -96,6 +103,18 @@
         return Response(reply.status, reply.body)
 
 
+def _user_route(path: str) -> _UserRoute | None:
+    """What a path at or below that of submissions stands for, None if for nothing."""
+    segments = path[len(jobs.SUBMIT_PATH) :].strip("/").split("/")
+    if segments == [""]:
+        return _UserRoute("submit", "POST")
+    if len(segments) == 1:
+        return _UserRoute("query", "GET", segments[0])
+    if len(segments) == 2 and segments[1] == jobs.CANCEL:
+        return _UserRoute("cancel", "POST", segments[0])
+    return None
+
+
 def _later(body: bytes, status: int = 503, retry_after_s: int = RETRY_AFTER_S) -> Response:
     return Response(status, body, (("Retry-After", str(retry_after_s)),))
 
@@ -105,7 +124,7 @@
 
 
 class PeerHandler:
-    """The other controllers."""
+    """Requests of the other controllers. Called by any thread."""
 
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
@@ -116,9 +135,9 @@
             return Response(200, mesh.encode_status(self._controller.status()))
         if request.path == mesh.CANCELLED_PATH and request.method == "POST":
             try:
-                told = mesh.decode_cancelled(request.body)
-            except (msgspec.ValidationError, msgspec.DecodeError) as bad:
-                return Response(400, jobs.error(str(bad)))
-            self._controller.on_cancellations(told)
+                cancelled = mesh.decode_cancelled(request.body)
+            except msgspec.DecodeError as error:
+                return Response(400, jobs.error(str(error)))
+            self._controller.on_cancellations(cancelled)
             return Response(200, b"{}")
         return Response(404, jobs.error("no such path"))
--- a/bayford/transport/http_server.py
+++ b/bayford/transport/http_server.py
@@ -5,19 +5,22 @@
 import threading
 import time
 from collections.abc import Callable
+from contextlib import suppress
 from dataclasses import dataclass, field
 from http.server import BaseHTTPRequestHandler
 
 from bayford.clock import NEVER
 
-log = logging.getLogger("bayford.server")
+log = logging.getLogger(__name__)
 
-IDLE_S = 40.0  # a connection of which nothing else is known
-REQUEST_S = 5.0
-MAX_BODY = 64 * 1024
-MAX_LINE = 8 * 1024
+IDLE_S = 40.0  # how long a connection waits for a request, unless its last response says otherwise
+REQUEST_S = 5.0  # time limit of each read of a request that has begun, and of sending a response
+MAX_BODY = 64 * 1024  # bytes
+MAX_LINE = 8 * 1024  # bytes
 MAX_HEADERS = 64
+MAX_CHUNK_SIZE_LINE = 64  # bytes
 BACKLOG = 4096  # connections that wait to be accepted: a whole fleet, right after a failover
+ACCEPT_RETRY_S = 0.05
 
 REASONS = {
     200: "OK",
@@ -41,54 +44,58 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request. `after`: when the answer before it on its connection had been sent. `crowded`: whether
-    most connections that the server may have are taken."""
+    """One request."""
 
     method: str
-    path: str
+    path: str  # with the query
     body: bytes
-    after: float
-    headers: dict[str, str] = field(default_factory=dict)
-    crowded: bool = False
+    after: float  # it was sent after this moment of the steady clock: that of the response before it
+    headers: dict[str, str] = field(default_factory=dict)  # names in lower case
+    crowded: bool = False  # whether most connections that the server may have are taken
 
 
 @dataclass(slots=True)
 class Response:
-    """What to answer. The connection is then kept for the next request for `idle_s`, 0: not at all."""
+    """The answer to a request."""
 
     status: int
-    body: bytes
-    headers: tuple[tuple[str, str], ...] = ()
-    idle_s: float = IDLE_S
+    body: bytes  # JSON
+    headers: tuple[tuple[str, str], ...] = ()  # beside those of every response
+    idle_s: float = IDLE_S  # how long the connection is then kept for the next request, 0: not at all
 
 
 Handle = Callable[[Request], Response]
 
 
-class _RefusedError(Exception):
+class HttpError(Exception):
+    """A request that can't be read: answered with this status and text, and its connection is closed."""
+
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
 class Connection(BaseHTTPRequestHandler):
-    """One connection. `http.server`'s own header parser (the e-mail package's) takes several times as
-    long as everything else here, and a controller has a fraction of a core, so the lines are read here."""
+    """One connection, served by a thread of its own.
+
+    `http.server`'s own header parser (the e-mail package's) takes several times as long as everything else
+    here, and a controller has a fraction of a core, so the lines are read here.
+    """
 
     protocol_version = "HTTP/1.1"
-    server: "HttpServer"  # type: ignore[assignment]
+    server: "HttpServer"  # type: ignore[assignment]  # in place of the base class's `BaseServer`
     disable_nagle_algorithm = True
     timeout = IDLE_S
 
     def handle(self) -> None:
-        """Serve requests until either side is done."""
+        """Serve requests until either side closes the connection."""
         self.close_connection = False
         after = NEVER
         idle_s = IDLE_S
         try:
             while not self.close_connection:
                 self.connection.settimeout(idle_s)
-                request = self._read(after)
+                request = self._read_request(after)
                 if request is None:
                     return
                 request.crowded = self.server.crowded
@@ -97,82 +104,88 @@
                 if not idle_s:
                     self.close_connection = True
                 after = self._send(response)
-        except _RefusedError as bad:
+        except HttpError as error:
             self.close_connection = True
-            body = b'{"error":"' + str(bad).encode() + b'"}'
-            self._send(Response(bad.status, body))
-        except (OSError, TimeoutError, ValueError):
-            return
+            body = b'{"error":"' + str(error).encode() + b'"}'
+            self._send(Response(error.status, body))
+        except (OSError, ValueError):
+            return  # the peer is gone or too slow, or the file of the connection is closed
 
     def finish(self) -> None:
-        """Close, ignoring a peer that is gone."""
-        try:
+        """Close, also if the peer is gone."""
+        with suppress(OSError):
             super().finish()
-        except OSError:
-            pass
 
-    def _read(self, after: float) -> Request | None:
+    def _read_request(self, after: float) -> Request | None:
+        """The next request, None once the peer has closed the connection. HttpError: it can't be read."""
         line = self.rfile.readline(MAX_LINE + 1)
         if not line:
             return None
-        # From the first byte on the request has to come in reasonable time.
+        # Once a request has begun, the rest of it must not take longer than `REQUEST_S` a read.
         self.connection.settimeout(REQUEST_S)
         words = line.split()
         if len(line) > MAX_LINE:
-            raise _RefusedError(431, "line too long")
+            raise HttpError(431, "line too long")
         if len(words) != 3 or not words[2].startswith(b"HTTP/1."):
-            raise _RefusedError(400, "not an HTTP/1.1 request")
+            raise HttpError(400, "not an HTTP/1.1 request")
+        headers = self._read_headers()
+        if headers is None:
+            return None
+        if words[2] == b"HTTP/1.0" or headers.get("connection", "").lower() == "close":
+            self.close_connection = True
+        body = self._read_body(headers)
+        return Request(words[0].decode("latin-1"), words[1].decode("latin-1"), body, after, headers)
+
+    def _read_headers(self) -> dict[str, str] | None:
+        """Headers by name in lower case, None if the peer closes before their end."""
         headers: dict[str, str] = {}
         while True:
             line = self.rfile.readline(MAX_LINE + 1)
             if line in (b"\r\n", b"\n"):
-                break
+                return headers
             if not line:
                 return None
             if len(line) > MAX_LINE or len(headers) >= MAX_HEADERS:
-                raise _RefusedError(431, "headers too long")
+                raise HttpError(431, "headers too long")
             name, colon, value = line.partition(b":")
             if not colon:
-                raise _RefusedError(400, "malformed header")
+                raise HttpError(400, "malformed header")
             headers[name.strip().lower().decode("latin-1")] = value.strip().decode("latin-1")
-        if words[2] == b"HTTP/1.0" or headers.get("connection", "").lower() == "close":
-            self.close_connection = True
-        body = self._body(headers)
-        return Request(words[0].decode("latin-1"), words[1].decode("latin-1"), body, after, headers)
 
-    def _body(self, headers: dict[str, str]) -> bytes:
+    def _read_body(self, headers: dict[str, str]) -> bytes:
         if headers.get("expect", "").lower() == "100-continue":
             self.wfile.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         if "chunked" in headers.get("transfer-encoding", "").lower():
-            return self._chunks()
-        text = headers.get("content-length", "0")
-        if not text.isdigit():
-            raise _RefusedError(400, "bad content-length")
-        length = int(text)
+            return self._read_chunks()
+        length_text = headers.get("content-length", "0")
+        if not length_text.isdigit():
+            raise HttpError(400, "bad content-length")
+        length = int(length_text)
         if length > MAX_BODY:
-            raise _RefusedError(413, "body over 64 KiB")
+            raise HttpError(413, "body over 64 KiB")
         body = self.rfile.read(length) if length else b""
         if len(body) < length:
             raise ConnectionError("body ended early")
         return body
 
-    def _chunks(self) -> bytes:
-        out = b""
+    def _read_chunks(self) -> bytes:
+        body = b""
         while True:
             try:
-                size = int(self.rfile.readline(64).split(b";")[0], 16)
-            except ValueError as bad:
-                raise _RefusedError(400, "bad chunk") from bad
-            if size < 0 or len(out) + size > MAX_BODY:
-                raise _RefusedError(413, "body over 64 KiB")
+                size = int(self.rfile.readline(MAX_CHUNK_SIZE_LINE).split(b";")[0], 16)
+            except ValueError as error:
+                raise HttpError(400, "bad chunk") from error
+            if size < 0 or len(body) + size > MAX_BODY:
+                raise HttpError(413, "body over 64 KiB")
             if size == 0:
                 while self.rfile.readline(MAX_LINE) not in (b"\r\n", b"\n", b""):
-                    pass
-                return out
-            out += self.rfile.read(size)
-            self.rfile.readline(8)
+                    pass  # trailers
+                return body
+            body += self.rfile.read(size)
+            self.rfile.readline(8)  # the end of the chunk's line
 
     def _send(self, response: Response) -> float:
+        """Send a response; a moment of the steady clock before its first byte."""
         head = [
             f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Status')}",
             "Content-Type: application/json",
@@ -183,19 +196,21 @@
             head.append("Connection: close")
         self.connection.settimeout(REQUEST_S)
         # Before the bytes leave: what comes next on this connection was sent after this moment.
-        at = time.monotonic()
+        sent_at = time.monotonic()
         self.connection.sendall("\r\n".join(head).encode() + b"\r\n\r\n" + response.body)
-        return at
+        return sent_at
 
 
 class HttpServer:
-    """Listens at an address and gives every request to `handle`; at most `most` connections at once."""
+    """Listens at an address and passes every request to a handler, in a thread for each connection."""
 
-    def __init__(self, host: str, port: int, handle: Handle, most: int, name: str) -> None:
+    def __init__(self, host: str, port: int, handle: Handle, max_connections: int, name: str) -> None:
+        """`port`: 0 for any that is free. `handle`: called by many threads at once. `name`: for the log.
+        OSError: the address can't be had."""
         self._handle = handle
-        self._most = most
-        self._open = 0
-        self._lock = threading.Lock()
+        self._max_connections = max_connections
+        self._open_connections = 0
+        self._lock = threading.Lock()  # guards changes of `_open_connections`
         self._name = name
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -205,26 +220,26 @@
 
     @property
     def crowded(self) -> bool:
-        """Whether three quarters of the connections are taken."""
-        return self._open * 4 > self._most * 3
+        """Whether three quarters of the connections are taken. Read without the lock."""
+        return self._open_connections * 4 > self._max_connections * 3
 
     def _enter(self) -> bool:
         with self._lock:
-            if self._open >= self._most:
+            if self._open_connections >= self._max_connections:
                 return False
-            self._open += 1
+            self._open_connections += 1
             return True
 
     def _leave(self) -> None:
         with self._lock:
-            self._open -= 1
+            self._open_connections -= 1
 
     def handle(self, request: Request) -> Response:
-        """One request; a fault in a handler costs that request alone."""
+        """The response to one request."""
         try:
             return self._handle(request)
-        except Exception:
-            log.exception("%s %s failed", request.method, request.path)
+        except Exception:  # a fault in a handler costs that request alone
+            log.exception("request failed: method=%s path=%s", request.method, request.path)
             return Response(500, b'{"error":"internal error"}')
 
     def start(self) -> None:
@@ -235,28 +250,26 @@
         while True:
             try:
                 connection, peer = self._socket.accept()
-            except OSError as bad:
-                log.error("%s: accept: %s", self._name, bad)
-                time.sleep(0.05)
+            except OSError as error:
+                log.error("accept failed: server=%s error=%s", self._name, error)
+                time.sleep(ACCEPT_RETRY_S)
                 continue
             if not self._enter():
-                # Refused rather than left waiting: the load balancer then tries another node.
+                # Closed rather than left waiting: the load balancer then tries another controller.
                 connection.close()
                 continue
             try:
                 threading.Thread(target=self._serve, args=(connection, peer), daemon=True).start()
-            except RuntimeError:
+            except RuntimeError:  # no thread can be started
                 self._leave()
                 connection.close()
 
     def _serve(self, connection: socket.socket, peer: tuple[str, int]) -> None:
         try:
-            Connection(connection, peer, self)  # type: ignore[arg-type]
-        except Exception as bad:
-            log.debug("connection: %r", bad)
+            Connection(connection, peer, self)  # type: ignore[arg-type]  # its `server` is declared above
+        except Exception as error:  # top of the thread: a fault costs this connection alone
+            log.debug("connection failed: server=%s error=%r", self._name, error)
         finally:
             self._leave()
-            try:
+            with suppress(OSError):
                 connection.close()
-            except OSError:
-                pass
