--- a/bayford/cli.py
+++ b/bayford/cli.py
@@ -56,12 +56,12 @@
     incarnation = f"{random.SystemRandom().getrandbits(48):012x}"
     log.info("%s %s starts, incarnation %s", settings.member, __version__, incarnation)
     state = HttpClient(*split_address(settings.outside.state))
-    cloud = HttpClient(*split_address(settings.outside.cloud), most_idle=3)
+    cloud = HttpClient(*split_address(settings.outside.cloud), max_idle=3)
     rng = random.Random(incarnation)
     scheduler = Scheduler(settings, policy, time.monotonic, time.time, rng)
 
     def asker(endpoint: str) -> Callable[[float], mesh.Status | None]:
-        client = HttpClient(*split_address(endpoint), most_idle=2, connect_s=0.8)
+        client = HttpClient(*split_address(endpoint), max_idle=2, connect_s=0.8)
 
         def ask(timeout_s: float) -> mesh.Status | None:
             try:
@@ -73,7 +73,7 @@
         return ask
 
     def notifier(endpoint: str) -> Callable[[dict[str, float]], bool]:
-        client = HttpClient(*split_address(endpoint), most_idle=1, connect_s=0.8)
+        client = HttpClient(*split_address(endpoint), max_idle=1, connect_s=0.8)
 
         def notify(cancelled: dict[str, float]) -> bool:
             try:
@@ -87,7 +87,7 @@
     def command(address: str, body: bytes) -> bytes | None:
         # Of hundreds of machines any may be told to stop something, seldom the same one again soon: a
         # connection kept for each would cost as many sockets as the workers' own.
-        client = HttpClient(*split_address(address), most_idle=0, connect_s=0.7)
+        client = HttpClient(*split_address(address), max_idle=0, connect_s=0.7)
         try:
             status, answer = client.call("POST", workers.COMMANDS_PATH, body, 1.5)
         except (UnavailableError, OutcomeUnknownError):
