--- a/bayford/cli.py
+++ b/bayford/cli.py
@@ -55,8 +55,8 @@
     threading.stack_size(STACK)
     incarnation = f"{random.SystemRandom().getrandbits(48):012x}"
     log.info("%s %s starts, incarnation %s", settings.member, __version__, incarnation)
-    state = HttpClient(*split_address(settings.outside.state))
-    cloud = HttpClient(*split_address(settings.outside.cloud), max_idle=3)
+    state = HttpClient(*split_address(settings.services.state))
+    cloud = HttpClient(*split_address(settings.services.cloud), max_idle=3)
     rng = random.Random(incarnation)
     scheduler = Scheduler(settings, policy, time.monotonic, time.time, rng)
 
@@ -100,17 +100,20 @@
         KeyValueApi(state.call),
         CloudApi(cloud.call),
         incarnation,
-        {peer.member: asker(peer.endpoint) for peer in settings.seeds},
-        {peer.member: notifier(peer.endpoint) for peer in settings.seeds},
+        {peer.member: asker(peer.endpoint) for peer in settings.peers},
+        {peer.member: notifier(peer.endpoint) for peer in settings.peers},
         command,
     )
     # Every worker, and users beside them, may come to one controller: a thread each, 0.03 MB as measured.
     limits = settings.facts.machine_limits
     most = max(32, min(limits.fd_limit * 3 // 4, int(limits.mem_mb * 8), THREADS))
     front = HttpServer(
-        *split_address(settings.front), UserHandler(controller, ConcurrencyLimit()).handle, most, "front"
+        *split_address(settings.front_address),
+        UserHandler(controller, ConcurrencyLimit()).handle,
+        most,
+        "front",
     )
-    peers = HttpServer(*split_address(settings.mesh_addr), PeerHandler(controller).handle, 32, "mesh")
+    peers = HttpServer(*split_address(settings.mesh_address), PeerHandler(controller).handle, 32, "mesh")
     front.start()
     peers.start()
     controller.start()
@@ -146,11 +149,11 @@
     from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
     from bayford.transport.http_client import HttpClient
 
-    state = KeyValueApi(HttpClient(*split_address(settings.outside.state)).call)
+    state = KeyValueApi(HttpClient(*split_address(settings.services.state)).call)
     try:
         return [state.scan(prefix)[0] for prefix in prefixes]
     except (UnavailableError, OutcomeUnknownError) as bad:
-        print(f"bayford: the state service at {settings.outside.state} is out: {bad}", file=sys.stderr)
+        print(f"bayford: the state service at {settings.services.state} is out: {bad}", file=sys.stderr)
         return None
 
 
@@ -221,7 +224,7 @@
             return 2
     if args.verb == "check-config":
         print(
-            f"{args.config}: good; {len(settings.seeds) + 1} controllers, {len(settings.facts.teams)} teams"
+            f"{args.config}: good; {len(settings.peers) + 1} controllers, {len(settings.facts.teams)} teams"
         )
         return 0
     faulthandler.enable()
--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -118,7 +118,7 @@
         )
         facts = settings.facts
         teams = [t.name for t in facts.teams]
-        zones = {peer.member: peer.site for peer in settings.seeds} | {self.name: settings.site}
+        zones = {peer.member: peer.zone for peer in settings.peers} | {self.name: settings.zone}
         self.release = release
         self.peers = Peers(self.name, peers, zones, release, clock)
         self.membership = Membership(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -517,15 +517,15 @@
     cluster = two_zones()
     full_of_work(cluster)
     leader = cluster.leader()
-    zone = cluster.nodes[leader].settings.site
+    zone = cluster.nodes[leader].settings.zone
     cut_zone(cluster, zone)
     for name, node in cluster.nodes.items():
-        if node.settings.site == zone:
+        if node.settings.zone == zone:
             cluster.state.lost.add(name)
             cluster.mesh_cut.add(name)
             cluster.cut |= {(worker, name) for worker in cluster.workers}
     wait(cluster, 50.0)
-    others = [name for name, node in cluster.nodes.items() if node.settings.site != zone]
+    others = [name for name, node in cluster.nodes.items() if node.settings.zone != zone]
     for name in others:
         if cluster.nodes[name].scheduler.leader:
             watch = cluster.nodes[name].scheduler.zone_monitor
