--- a/bayford/admission/allotment.py
+++ b/bayford/admission/allotment.py
@@ -70,7 +70,7 @@
         return max(0.0, self._demand[flow] - self.rates[flow])
 
     def _give(self, team: str, flows: list[Flow], amount: float) -> None:
-        """Give the team at most `amount` more, in proportion to what its own of `flows` still want."""
+        """Give the team at most `amount` more, divided among its `flows` as they still want it."""
         wanted = sum(self._wants(flow) for flow in flows if flow.team == team)
         given = min(amount, wanted)
         if given <= EPSILON:
--- a/bayford/admission/level.py
+++ b/bayford/admission/level.py
@@ -1,7 +1,7 @@
-"""The admission level: which part of which flow is admitted, as the leader publishes it.
+"""The admission level: which part of each flow is admitted, as the leader publishes it.
 
-One value under `b/admission`. Every controller reads it and decides alike by it
-(`admission.choice`); the leader alone writes it (`admission.control`).
+One value under `b/admission`. Every controller reads it and decides by it alone (`admission.choice`); only
+the leader writes it (`admission.control`).
 """
 
 from dataclasses import dataclass
--- a/bayford/admission/level_report.py
+++ b/bayford/admission/level_report.py
@@ -1,6 +1,5 @@
 """The admission level as operators read it: text from a template, or JSON."""
 
-import time
 from typing import Any
 
 import jinja2
@@ -8,6 +7,7 @@
 import orjson
 
 from bayford.admission.level import POSITIONS, Level
+from bayford.clock import format_wall_time
 from bayford.scheduling.model import PRIORITIES
 
 TEMPLATE = """\
@@ -31,10 +31,6 @@
 """
 
 
-def _at(wall: float) -> str:
-    return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(wall)) + " UTC"
-
-
 def _priority_name(priority: int) -> str:
     return PRIORITIES[priority] if 0 <= priority < len(PRIORITIES) else str(priority)
 
@@ -43,7 +39,7 @@
     """For a terminal. `lacking`: the controllers that keep to no level."""
     environment = jinja2.Environment(undefined=jinja2.StrictUndefined, autoescape=False)
     environment.filters |= {
-        "at": _at,
+        "at": format_wall_time,
         "priority_name": _priority_name,
         "percent": lambda window: 100.0 * window.width / POSITIONS,
     }
--- a/bayford/config.py
+++ b/bayford/config.py
@@ -80,7 +80,7 @@
     """Limits of the cloud."""
 
     rps: float  # requests a second
-    list_lag_s: float  # how old its list of machines may be
+    list_lag_s: float  # how far its list of machines lags, sometimes twice as much
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
@@ -88,7 +88,7 @@
 
     core_share: float = 1.0  # of one processor core
     mem_mb: float = 256.0
-    fd_limit: int = 1024  # open files and connections
+    fd_limit: int = 1024  # open files and sockets
 
 
 class Facts(msgspec.Struct, frozen=True):
--- a/bayford/coordination/api/acceptance_rate.py
+++ b/bayford/coordination/api/acceptance_rate.py
@@ -18,7 +18,7 @@
 
 
 class AcceptanceRateLimiter:
-    """A token bucket whose rate follows the answers of the state service. Locked by its owner, the gate."""
+    """A token bucket whose rate follows the answers of the state service. The caller locks."""
 
     def __init__(self, max_rate: float, clock: Callable[[], float]) -> None:
         """`max_rate`: acceptances a second at the most, and to begin with."""
--- a/bayford/recovery/zone_report.py
+++ b/bayford/recovery/zone_report.py
@@ -1,12 +1,12 @@
 """The record of zones as operators read it: text from a template, or JSON."""
 
-import time
 from typing import Any
 
 import jinja2
 import msgspec
 import orjson
 
+from bayford.clock import format_wall_time
 from bayford.recovery.zone_record import (
     CANCELLED,
     ENDED_UNSEEN,
@@ -36,12 +36,8 @@
 """
 
 
-def _at(wall: float) -> str:
-    return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(wall)) + " UTC"
-
-
 def _back(wall: float) -> str:
-    return f"returned {_at(wall)}" if wall else "not back"
+    return f"returned {format_wall_time(wall)}" if wall else "not back"
 
 
 def _ranges(flat: list[int]) -> str:
@@ -79,7 +75,7 @@
 def as_text(zones: list[ZoneRecord]) -> str:
     """For a terminal."""
     environment = jinja2.Environment(undefined=jinja2.StrictUndefined, autoescape=False)
-    environment.filters |= {"at": _at, "back": _back, "outcomes": _outcomes, "totals": _totals}
+    environment.filters |= {"at": format_wall_time, "back": _back, "outcomes": _outcomes, "totals": _totals}
     return environment.from_string(TEMPLATE).render(zones=zones).strip("\n")
 
 
--- a/bayford/transport/concurrency_limit.py
+++ b/bayford/transport/concurrency_limit.py
@@ -1,6 +1,6 @@
 """A limit on user requests in progress that follows measured times.
 
-A gradient limit, kin of TCP Vegas: once a window of measurements is full, the limit is multiplied by how
+A gradient limit, similar to TCP Vegas: once a window of measurements is full, the limit is multiplied by how
 much slower requests have become than in the fastest window known (never by less than a half) and a
 little headroom is added. While requests are as fast as ever it grows, if it was used; when they queue
 somewhere, it shrinks, and what exceeds it is refused at once. Times go into an HdrHistogram.
