--- a/bayford/cli.py
+++ b/bayford/cli.py
@@ -63,11 +63,11 @@
     from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
     from bayford.transport.http_client import HttpClient
 
-    store = KeyValueApi(HttpClient(*split_address(settings.outside.state)).call)
+    store = KeyValueApi(HttpClient(*split_address(settings.services.state)).call)
     try:
         return [store.scan(prefix)[0] for prefix in prefixes]
     except (UnavailableError, OutcomeUnknownError) as error:
-        _complain(f"the state service at {settings.outside.state} is out: {error}")
+        _complain(f"the state service at {settings.services.state} is out: {error}")
         return None
 
 
@@ -145,7 +145,7 @@
         return EXIT_BAD_SETTINGS
     if args.verb == "check-config":
         print(
-            f"{args.config}: good; {len(settings.seeds) + 1} controllers, {len(settings.facts.teams)} teams"
+            f"{args.config}: good; {len(settings.peers) + 1} controllers, {len(settings.facts.teams)} teams"
         )
         return 0
     from bayford.serve import serve  # the other commands need none of what a controller imports
--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -127,7 +127,7 @@
 
     def _join_leadership(self, peers: dict[str, Ask]) -> None:
         settings, clock = self.settings, self._clock
-        zones = {peer.member: peer.site for peer in settings.seeds} | {self.name: settings.site}
+        zones = {peer.member: peer.zone for peer in settings.peers} | {self.name: settings.zone}
         self.peers = Peers(self.name, peers, zones, self.release, clock)
         self.membership = Membership(
             self._membership_store,
--- a/bayford/coordination/leader/admission_publisher.py
+++ b/bayford/coordination/leader/admission_publisher.py
@@ -2,14 +2,10 @@
 
 from collections.abc import Callable
 
+from bayford.admission.facts import TaskLogFacts
 from bayford.config import Settings
 from bayford.coordination.api.admission_gate import AdmissionGate
-from bayford.coordination.leader.admission_control import (
-    AdmissionControl,
-    TaskLogFacts,
-    decode_sample,
-    encode_sample,
-)
+from bayford.coordination.leader.admission_control import AdmissionControl, decode_sample, encode_sample
 from bayford.coordination.leader.commit_loop import CommitLoop
 from bayford.coordination.leader.leader_events import LeaderListener
 from bayford.coordination.leader.scheduler import Scheduler
--- a/bayford/serve.py
+++ b/bayford/serve.py
@@ -42,8 +42,8 @@
         """`endpoint`: its address on the mesh, HOST:PORT."""
         address = split_address(endpoint)
         # Notices have a connection of their own: they must not wait behind a poll.
-        self._status = HttpClient(*address, most_idle=2, connect_s=PEER_CONNECT_S)
-        self._notices = HttpClient(*address, most_idle=1, connect_s=PEER_CONNECT_S)
+        self._status = HttpClient(*address, max_idle=2, connect_s=PEER_CONNECT_S)
+        self._notices = HttpClient(*address, max_idle=1, connect_s=PEER_CONNECT_S)
 
     def status(self, timeout_s: float) -> mesh.Status | None:
         """The controller's status, None if it can't be had."""
@@ -70,7 +70,7 @@
     Any of hundreds of machines may be told to stop something, and seldom the same one again soon: a kept
     connection for each would cost as many sockets as the workers' own.
     """
-    client = HttpClient(*split_address(address), most_idle=0, connect_s=COMMAND_CONNECT_S)
+    client = HttpClient(*split_address(address), max_idle=0, connect_s=COMMAND_CONNECT_S)
     try:
         status, answer = client.call("POST", workers.COMMANDS_PATH, body, COMMAND_TIMEOUT_S)
     except (UnavailableError, OutcomeUnknownError):
@@ -87,9 +87,9 @@
 
 def make_controller(settings: Settings, policy: Policy, incarnation: str) -> Controller:
     """A controller that is connected to the services of its settings."""
-    store = HttpClient(*split_address(settings.outside.state))
-    cloud = HttpClient(*split_address(settings.outside.cloud), most_idle=CLOUD_CONNECTIONS)
-    peers = {peer.member: PeerClient(peer.endpoint) for peer in settings.seeds}
+    store = HttpClient(*split_address(settings.services.state))
+    cloud = HttpClient(*split_address(settings.services.cloud), max_idle=CLOUD_CONNECTIONS)
+    peers = {peer.member: PeerClient(peer.endpoint) for peer in settings.peers}
     return Controller(
         settings,
         Scheduler(settings, policy, time.monotonic, time.time, random.Random(incarnation)),
@@ -109,13 +109,13 @@
     log.info("starting: member=%s version=%s incarnation=%s", settings.member, __version__, incarnation)
     controller = make_controller(settings, policy, incarnation)
     front = HttpServer(
-        *split_address(settings.front),
+        *split_address(settings.front_address),
         UserHandler(controller, ConcurrencyLimit()).handle,
         max_connections(settings.facts.machine_limits),
         "front",
     )
     mesh_server = HttpServer(
-        *split_address(settings.mesh_addr), PeerHandler(controller).handle, MAX_PEER_CONNECTIONS, "mesh"
+        *split_address(settings.mesh_address), PeerHandler(controller).handle, MAX_PEER_CONNECTIONS, "mesh"
     )
     front.start()
     mesh_server.start()
