--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,6 +11,7 @@
 import z3
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from test_config import GOOD
 
 from bayford import cli
 from bayford.admission import choice, features, level_report
@@ -39,7 +40,6 @@
 from bayford.transport.concurrency_limit import ConcurrencyLimit
 from bayford.transport.http_client import HttpClient
 from standins.state_service import StateService
-from tests.test_config import GOOD
 
 KEY = "07" * 32
 SWEEP, BUILD = Flow(1, "sweep", "red"), Flow(2, "build", "red")
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -9,6 +9,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
+from world import World
 
 from bayford.admission.choice import decide
 from bayford.admission.facts import TaskLogFacts, WorkloadFacts
@@ -27,7 +28,6 @@
 )
 from standins.history import done_again
 from standins.workers import Event
-from tests.world import World
 
 KEY = "07" * 32
 ON = Policy(
