--- a/tools/task_log_crosscheck.py
+++ b/tools/task_log_crosscheck.py
@@ -1,8 +1,8 @@
 """Play the task log of the version in production against this one's, outside CI: it needs the history.
 
-    python tools/crosscheck.py [--rounds N] [--seed N]
+    python tools/task_log_crosscheck.py [--rounds N] [--seed N]
 
-`deploy/service.toml` names the commit in production; its `storage/task log.py` is read from the history and
+`deploy/service.toml` names the commit in production; its `storage/ledger.py` is read from the history and
 run as it is. Both versions then write rows into one log in turn, as leaders of an upgrade do, the old one in
 rows of the present limit and the new one in rows of the limit to come. Every reader of both must add all rows
 up to the same state, also one that begins anew, and find the same slots free.
@@ -25,7 +25,8 @@
 sys.path.insert(0, str(HERE))
 
 from bayford.storage import records  # noqa: E402
-from bayford.storage import task_log as new  # noqa: E402
+from bayford.storage.row_builder import RowBuilder  # noqa: E402
+from bayford.storage.task_log import TaskLog  # noqa: E402
 
 # What production's task log imports and what is called otherwise by now.
 OLD_NAMES = {"Unreadable": records.UnreadableError}
@@ -70,11 +71,11 @@
 
 def state(task_log: Any) -> dict[str, Any]:
     """What a task log holds, empty jobs left out."""
-    out = {}
+    jobs = {}
     for job, progress in task_log.jobs.items():
         if progress.open or progress.done:
-            out[job] = (dict(progress.open), set(progress.done))
-    return out
+            jobs[job] = (dict(progress.open), set(progress.done))
+    return jobs
 
 
 def slots(task_log: Any) -> Any:
@@ -83,7 +84,7 @@
 
 
 def random_changes(
-    rng: random.Random, task_log: Any, maker: Any, attempt: int
+    rng: random.Random, task_log: Any, builder: Any, attempt: int
 ) -> tuple[dict[str, list[int]], int]:
     """Write some changes into a row: the tasks that they concern, and the last attempt."""
     changing: dict[str, list[int]] = {}
@@ -91,7 +92,7 @@
         job, task = f"req-{rng.randrange(9):06d}", rng.randrange(300)
         machine = f"vm-{rng.randrange(400):06d}"
         progress = task_log.jobs.get(job)
-        if not maker.has_space(job, machine) or task in changing.get(job, ()):
+        if not builder.has_space(job, machine) or task in changing.get(job, ()):
             continue
         if progress is not None and task in progress.done:
             continue
@@ -99,11 +100,11 @@
         kind = rng.random()
         if kind < 0.55:
             attempt += 1
-            maker.add_open(job, task, attempt, machine, 1)
+            builder.add_open(job, task, attempt, machine, 1)
         elif kind < 0.85:
-            maker.add_done(job, task)
+            builder.add_done(job, task)
         else:
-            maker.add_closed(job, task)
+            builder.add_closed(job, task)
     return changing, attempt
 
 
@@ -118,7 +119,7 @@
     """One log of `rounds` rows by both versions in turn."""
     rng = random.Random(seed)
     old = production()
-    readers = [old.TaskLog(layout), new.TaskLog(layout)]
+    readers = [old.TaskLog(layout), TaskLog(layout)]
     stored: dict[str, tuple[int, Any]] = {}
     attempt, version, longest = 1, 10, 0
     writer = 0
@@ -129,21 +130,21 @@
             writer = 1  # all are new now
         task_log: Any = readers[writer]
         if writer == 0:
-            maker: Any = old.RowBuilder(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40)
+            builder: Any = old.RowBuilder(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40)
         else:
-            maker = new.RowBuilder(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40, short)
-        changing, attempt = random_changes(rng, task_log, maker, attempt)
+            builder = RowBuilder(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40, short)
+        changing, attempt = random_changes(rng, task_log, builder, attempt)
         if rng.random() < 0.02 and task_log.jobs:
             job = rng.choice(sorted(task_log.jobs))
-            if job not in changing and maker.has_space(job):
-                maker.add_over(job)
+            if job not in changing and builder.has_space(job):
+                builder.add_over(job)
         if writer == 0:
-            maker.add_snapshots()
+            builder.add_snapshots()
         else:
-            maker.add_snapshots(changing)
+            builder.add_snapshots(changing)
         slot, before = task_log.next_slots(1)[0]
         assert stored.get(slot, (0, None))[0] == before, "the slot's version is known"
-        value = orjson.loads(orjson.dumps(maker.build()))
+        value = orjson.loads(orjson.dumps(builder.build()))
         assert len(orjson.dumps(value)) <= (layout if writer == 0 else short)
         version += 1
         stored[slot] = (version, value)
@@ -155,8 +156,8 @@
         if number % 50 == 49:
             rows = [(slot, at, value) for slot, (at, value) in stored.items()]
             rng.shuffle(rows)
-            for module in (old, new):
-                check_new_reader(module.TaskLog(layout), rows, readers[0], number)
+            for task_log_class in (old.TaskLog, TaskLog):
+                check_new_reader(task_log_class(layout), rows, readers[0], number)
     print(f"layout {layout}, rows of {short}: {rounds} rows, {longest} slots at the most, good")
 
 
