--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -544,7 +544,7 @@
                     self._tell_engine(row)  # also if it is no news to the watch cache
             return
         # Our own rows first: a query answered from here must not lag behind what we act upon.
-        self.watch_cache.apply([Row(p.key, p.value, outcome.revision) for p in batch.puts], tell=False)
+        self.watch_cache.apply([Row(p.key, p.value, outcome.revision) for p in batch.puts], notify=False)
         self.scheduler.committed(batch)
         if batch.placements:
             self._verify.set()  # the starts of these are about to be asked for
--- a/bayford/coordination/leader/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -7,7 +7,8 @@
 from bayford.scheduling.model import URGENT, Job
 from bayford.storage import records
 from bayford.storage.key_value_store import Put
-from bayford.storage.task_log import RowBuilder, TaskLog
+from bayford.storage.row_builder import RowBuilder
+from bayford.storage.task_log import TaskLog
 
 log = logging.getLogger("bayford.engine")
 
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -108,17 +108,17 @@
         have = {(t.task_id, t.attempt): t for t in heartbeat.tasks}
         out: list[workers.Command] = []
         wanted: set[tuple[str, int]] = set()
-        for job_id, task, attempt, epoch, cancelled in self._watch_cache.placements_on(heartbeat.machine):
-            if epoch != heartbeat.epoch:
+        for placement in self._watch_cache.placements_on(heartbeat.machine):
+            if placement.epoch != heartbeat.epoch:
                 continue
-            task_id = workers.task_name(job_id, task)
-            key = (task_id, attempt)
+            task_id = workers.task_name(placement.job, placement.task)
+            key = (task_id, placement.attempt)
             wanted.add(key)
-            if cancelled:
+            if placement.cancelled:
                 if key in have and have[key].phase != workers.ENDED:
-                    out.append(workers.Stop(task_id, attempt, 0.0))
+                    out.append(workers.Stop(task_id, placement.attempt, grace_s=0.0))
             elif key not in have:
-                out.append(workers.Start(task_id, attempt))
+                out.append(workers.Start(task_id, placement.attempt))
         out += [
             workers.Reap(*key)
             for key, state in have.items()
--- a/bayford/recovery/task_outcomes.py
+++ b/bayford/recovery/task_outcomes.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from bayford.recovery.zone_record import Elsewhere, Loss
-from bayford.storage.task_log import ranges, unrange
+from bayford.storage.task_ranges import decode_ranges, encode_ranges
 
 TaskKey = tuple[str, int]  # job, number of the task
 
@@ -90,8 +90,8 @@
     jobs: dict[str, list[int]] = {}
     for job, task in keys:
         jobs.setdefault(job, []).append(task)
-    return {job: ranges(tasks) for job, tasks in sorted(jobs.items())}
+    return {job: encode_ranges(tasks) for job, tasks in sorted(jobs.items())}
 
 
 def _keys(jobs: dict[str, list[int]]) -> set[TaskKey]:
-    return {(job, task) for job, flat in jobs.items() for task in unrange(flat)}
+    return {(job, task) for job, flat in jobs.items() for task in decode_ranges(flat)}
--- a/bayford/recovery/zone_record.py
+++ b/bayford/recovery/zone_record.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from bayford.storage import records
-from bayford.storage.task_log import unrange
+from bayford.storage.task_ranges import decode_ranges
 
 VERSION = 1
 MOST_LOSSES = 8
@@ -43,7 +43,7 @@
         """How many tasks had which fate."""
         out = dict(self.counts)
         for name in ("open", "finished", "cancelled", "over"):
-            tasks = sum(1 for flat in getattr(self, name).values() for _ in unrange(flat))
+            tasks = sum(1 for flat in getattr(self, name).values() for _ in decode_ranges(flat))
             out[name] = out.get(name, 0) + tasks
         out["again"] = out.get("again", 0) + sum(len(found) for found in self.again.values())
         return out
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -6,7 +6,8 @@
 import pytest
 
 from bayford.storage.records import UnreadableError
-from bayford.storage.task_log import KEEP_ROWS, RowBuilder, TaskLog
+from bayford.storage.row_builder import KEEP_ROWS, RowBuilder
+from bayford.storage.task_log import TaskLog
 
 
 class Writer:
@@ -34,9 +35,9 @@
             if job in self.over or not maker.has_space(job, machine):
                 continue
             told = self.truth.setdefault(job, {})
-            if any(task in flat.get(job, ()) for flat in (maker.value.d, maker.value.c)):
+            if any(task in flat.get(job, ()) for flat in (maker.row.done, maker.row.closed)):
                 continue
-            if job in maker.value.o and task in maker.value.o[job][::3]:
+            if job in maker.row.placed and task in maker.row.placed[job][::3]:
                 continue
             if told.get(task) == "done":
                 continue  # for good
@@ -116,7 +117,7 @@
                 w.task_log.tail,
                 w.task_log.next_slots(3),
             )
-            assert fresh.at == w.task_log.at
+            assert fresh.placed_on == w.task_log.placed_on
     for found in held:
         late.apply_row(*found)
     assert w.state(late) == w.state(w.task_log)
@@ -172,7 +173,7 @@
         stored[slot] = value
         task_log.apply_row(slot, task_log.next + 1, value)
 
-    for task in range(task_log.block):
+    for task in range(task_log.block_size):
         append(
             lambda maker, task=task: maker.add_open(
                 "req-1", task, 10**6 + task, f"vm-of-a-long-name-{task:09d}", 1
@@ -181,7 +182,7 @@
     before = dict(task_log.jobs["req-1"].open)
     for n in range(3000):
         append(lambda maker, n=n: maker.add_open("req-2", n % 7, n, "vm-2", 1))
-    assert len(stored) <= 2 * KEEP_ROWS * 8 + task_log.block
+    assert len(stored) <= 2 * KEEP_ROWS * 8 + task_log.block_size
     assert task_log.jobs["req-1"].open == before
     fresh = TaskLog(8192)
     fresh.rebuild([(slot, 1, value) for slot, value in stored.items()])
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -273,7 +273,7 @@
     assert max(rows[300:]) <= max(rows[:300]) <= 60
     job = scheduler.state.jobs["req-000001"]
     progress = w.nodes["n0"].watch_cache.with_task_log(lambda task_log: task_log.jobs["req-000001"])
-    assert len(job.failed_on) <= 8 and len(job.consecutive_exits) <= 2 and len(progress.told) <= 2
+    assert len(job.failed_on) <= 8 and len(job.consecutive_exits) <= 2 and len(progress.last_rows) <= 2
     assert len(scheduler.state.recent_services) <= 1
     for worker in w.workers.values():
         worker.fails = False
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 from bayford.coordination.store_limits import StoreLimits
 from bayford.coordination.workers.relay import heartbeats_in
 from bayford.protocol import mesh, workers
-from bayford.storage import load_summary, records, task_log
+from bayford.storage import load_summary, records, row_builder, task_log
 from bayford.storage.key_value_store import Row, TooLargeError
 
 # Each form as the version in production writes it, made once by that version.
@@ -65,7 +65,7 @@
     rows = [tuple(row) for row in GOLDEN["rows"]]
     version = 1000
     for _ in range(120):
-        maker = task_log.RowBuilder(found, found.next, found.reclaimable_tail(), found.next_attempt, 2048)
+        maker = row_builder.RowBuilder(found, found.next, found.reclaimable_tail(), found.next_attempt, 2048)
         maker.add_snapshots()
         slot, _ = found.next_slots(1)[0]
         value = orjson.loads(orjson.dumps(maker.build()))
--- a/tools/leader_cost.py
+++ b/tools/leader_cost.py
@@ -206,7 +206,7 @@
         fleet.submit(40, "urgent")
     urgent_ms = milliseconds(fleet.round, 9, max)  # victims are not looked for in every round
     fleet_ms = milliseconds(lambda: fleet.scheduler.scaling_step(fleet.now), 5)
-    rows = len(fleet.task_log.window)
+    rows = len(fleet.task_log.segments)
     return (
         f"{count:6d} {start_ms:9.1f} {full_ms:9.2f} {urgent_ms:9.2f} {report_us:10.0f} {fleet_ms:9.2f} "
         f"{memory_mb() - before:8.1f} {transactions:7d} {rows:6d} {min(first, whole):7d}"
