--- a/bayford/storage/counting_store.py
+++ b/bayford/storage/counting_store.py
@@ -1,12 +1,12 @@
-"""The state service as one part of a controller uses it: what that part asks for is counted.
+"""The state service as one component of a controller uses it: that component's requests are counted.
 
-All controllers share the service's rates, and a part that asks for too much starves the others. The counts
-tell which part asked and which was refused.
+All controllers share the service's rates, and a component that asks for too much starves the others. The
+counts tell which one asked and which was refused.
 """
 
 import threading
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import TypeVar
 
 from bayford.storage.key_value_store import KeyValueStore, Outcome, Put, Row, UnavailableError
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """What one part has asked of the state service so far."""
+    """What one component has asked of the state service since its start."""
 
     requests: int = 0
     changes: int = 0  # puts and deletes
@@ -25,20 +25,19 @@
 
 
 class CountingStore:
-    """A `KeyValueStore` that passes every call on and counts it."""
+    """A `KeyValueStore` that passes every call on and counts it. May be called from any thread."""
 
     def __init__(self, store: KeyValueStore, component: str) -> None:
         """`component`: whose requests these are, for the log."""
         self.component = component
         self._store = store
-        self._lock = threading.Lock()
+        self._lock = threading.Lock()  # guards the counts; never held during a request
         self._counts = RequestCounts()
 
     def counts(self) -> RequestCounts:
-        """The counts as of now."""
+        """A copy of the counts as of now."""
         with self._lock:
-            counts = self._counts
-            return RequestCounts(counts.requests, counts.changes, counts.refused, counts.conflicts)
+            return replace(self._counts)
 
     def scan(self, prefix: str) -> tuple[list[Row], int]:
         """See `KeyValueStore`."""
@@ -70,8 +69,8 @@
             self._counts.changes += changes
         try:
             return call()
-        except UnavailableError as bad:
-            if bad.refused:
+        except UnavailableError as error:
+            if error.refused:
                 with self._lock:
                     self._counts.refused += 1
             raise
