--- a/bayford/protocol/jobs.py
+++ b/bayford/protocol/jobs.py
@@ -1,4 +1,4 @@
-"""What users send and are told: submissions, states, cancellations."""
+"""What users send and what they are answered: submissions, states, cancellations."""
 
 import json
 import math
@@ -8,11 +8,14 @@
 import msgspec
 import orjson
 
+from bayford.protocol.errors import ProtocolError
 from bayford.scheduling.model import ARRAY, GANG, SERVICE, JobSpec
 from bayford.storage.records import State
 
 MAX_TASKS = 100_000
-MAX_BODY = 64 * 1024
+MAX_BODY = 64 * 1024  # bytes
+MAX_NAME = 200  # characters
+MAX_AMOUNT = 1e12
 ID = re.compile(r"req-[A-Za-z0-9_-]{1,64}", re.ASCII)
 SUBMIT_PATH = "/api/jobs"
 CANCEL = "cancel"
@@ -21,56 +24,78 @@
 # The page describes `batch` alone; the other two are named by the users' wire file and tried by their
 # loopback check (docs/questions.md).
 _SHAPES = {"batch": ARRAY, "gang": GANG, "daemon": SERVICE}
-_RANKS = {"idle": 0, "normal": 1, "urgent": 2, "critical": 3}
+_PRIORITIES = {"idle": 0, "normal": 1, "urgent": 2, "critical": 3}
 
 
-class InvalidError(Exception):
-    """A message that is malformed: the status is 400."""
+class InvalidError(ProtocolError):
+    """A message that is malformed: the status is 400, and users read the text, which names fields as on the
+    wire."""
 
 
 class _Submission(msgspec.Struct):
+    """A submission as it is sent. The order of the fields is that in which missing ones are found."""
+
     id: str
-    lane: str
-    crew: str
+    job_class: str = msgspec.field(name="lane")
+    team: str = msgspec.field(name="crew")
     shape: str
-    rank: str
-    parts: int
+    priority: str = msgspec.field(name="rank")
+    tasks: int = msgspec.field(name="parts")
     cpus: float
-    cards: float
+    gpus: float = msgspec.field(name="cards")
     mem_gb: float
-    bundle: str
-    size_gb: float
-    together: bool
-    apart: bool
-    loaners: bool
-    guess_s: float
-    bookmark_s: float
-    stash_s: float
-    builds: list[str] | None = None
-    yard: str | None = None
-    due_s: float | None = None
-
-
-def _pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    out = dict(pairs)
-    if len(out) != len(pairs):
+    image: str = msgspec.field(name="bundle")
+    image_gb: float = msgspec.field(name="size_gb")
+    one_zone: bool = msgspec.field(name="together")
+    spread: bool = msgspec.field(name="apart")
+    spot: bool = msgspec.field(name="loaners")
+    estimate_s: float = msgspec.field(name="guess_s")
+    checkpoint_interval_s: float = msgspec.field(name="bookmark_s")
+    checkpoint_save_s: float = msgspec.field(name="stash_s")
+    types: list[str] | None = msgspec.field(name="builds", default=None)
+    zone: str | None = msgspec.field(name="yard", default=None)
+    deadline_s: float | None = msgspec.field(name="due_s", default=None)
+
+
+# Fields that are checked alike, in the order in which they are; the texts of the errors name them as on the
+# wire.
+_NAMES = ("job_class", "team", "image")
+_AMOUNTS = (
+    "cpus",
+    "gpus",
+    "mem_gb",
+    "image_gb",
+    "estimate_s",
+    "checkpoint_interval_s",
+    "checkpoint_save_s",
+    "deadline_s",
+)
+_WIRE_NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(_Submission)}
+
+
+def _unique_fields(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    fields = dict(pairs)
+    if len(fields) != len(pairs):
         raise InvalidError("a field appears twice")
-    return out
+    return fields
 
 
-def _constant(name: str) -> Any:
+def _refuse_constant(name: str) -> Any:
     raise InvalidError(f"{name} is not JSON")
 
 
 def parse_object(body: bytes) -> dict[str, Any]:
     """A JSON object without duplicate fields or non-finite numbers.
 
-    The standard library's parser, since it alone shows duplicates; submissions are rare.
+    InvalidError for anything else. The standard library's parser, since it alone shows duplicates;
+    submissions are rare.
     """
     try:
-        value = json.loads(body.decode("utf-8"), object_pairs_hook=_pairs, parse_constant=_constant)
-    except (ValueError, RecursionError) as bad:
-        raise InvalidError(f"not JSON: {bad}") from bad
+        value = json.loads(
+            body.decode("utf-8"), object_pairs_hook=_unique_fields, parse_constant=_refuse_constant
+        )
+    except (ValueError, RecursionError) as error:
+        raise InvalidError(f"not JSON: {error}") from error
     if not isinstance(value, dict):
         raise InvalidError("not an object")
     return value
@@ -82,52 +107,60 @@
 
 
 def parse_submission(body: bytes) -> JobSpec:
-    """Check every field of a submission; Invalid names the one at fault."""
+    """The job that a submission describes, every field checked; InvalidError names the one at fault."""
     try:
-        got = msgspec.convert(parse_object(body), _Submission, strict=True)
-    except msgspec.ValidationError as bad:
-        raise InvalidError(str(bad)) from bad
-    if job_id(got.id) is None:
+        submission = msgspec.convert(parse_object(body), _Submission, strict=True)
+    except msgspec.ValidationError as error:
+        raise InvalidError(str(error)) from error
+    _check_choices(submission)
+    _check_names_and_amounts(submission)
+    return JobSpec(
+        id=submission.id,
+        job_class=submission.job_class,
+        team=submission.team,
+        priority=_PRIORITIES[submission.priority],
+        tasks=submission.tasks,
+        cpus=submission.cpus,
+        gpus=submission.gpus,
+        mem_gb=submission.mem_gb,
+        image=submission.image,
+        image_gb=submission.image_gb,
+        types=submission.types,
+        zone=submission.zone,
+        one_zone=submission.one_zone,
+        spread=submission.spread,
+        spot=submission.spot,
+        estimate_s=submission.estimate_s,
+        checkpoint_interval_s=submission.checkpoint_interval_s,
+        checkpoint_save_s=submission.checkpoint_save_s,
+        deadline_s=submission.deadline_s,
+        shape=_SHAPES[submission.shape],
+    )
+
+
+def _check_choices(submission: _Submission) -> None:
+    if job_id(submission.id) is None:
         raise InvalidError("`$.id`: not a job id")
-    if got.shape not in _SHAPES:
-        raise InvalidError(f"`$.shape`: unknown shape {got.shape[:40]!r}")
-    if got.rank not in _RANKS:
-        raise InvalidError(f"`$.rank`: unknown rank {got.rank[:40]!r}")
-    if not 1 <= got.parts <= MAX_TASKS:
+    if submission.shape not in _SHAPES:
+        raise InvalidError(f"`$.shape`: unknown shape {submission.shape[:40]!r}")
+    if submission.priority not in _PRIORITIES:
+        raise InvalidError(f"`$.rank`: unknown rank {submission.priority[:40]!r}")
+    if not 1 <= submission.tasks <= MAX_TASKS:
         raise InvalidError(f"`$.parts`: not within 1 to {MAX_TASKS}")
-    for field in ("lane", "crew", "bundle"):
-        if not 0 < len(getattr(got, field)) <= 200:
-            raise InvalidError(f"`$.{field}`: empty or too long")
-    for field in ("cpus", "cards", "mem_gb", "size_gb", "guess_s", "bookmark_s", "stash_s", "due_s"):
-        value = getattr(got, field)
-        if value is not None and not (math.isfinite(value) and 0 <= value <= 1e12):
-            raise InvalidError(f"`$.{field}`: must be a finite number, 0 or more")
-    if got.cpus == 0 and got.cards == 0:
+
+
+def _check_names_and_amounts(submission: _Submission) -> None:
+    for name in _NAMES:
+        if not 0 < len(getattr(submission, name)) <= MAX_NAME:
+            raise InvalidError(f"`$.{_WIRE_NAMES[name]}`: empty or too long")
+    for name in _AMOUNTS:
+        amount = getattr(submission, name)
+        if amount is not None and not (math.isfinite(amount) and 0 <= amount <= MAX_AMOUNT):
+            raise InvalidError(f"`$.{_WIRE_NAMES[name]}`: must be a finite number, 0 or more")
+    if submission.cpus == 0 and submission.gpus == 0:
         raise InvalidError("`$.cpus`: a task takes some CPU or a card")
-    if got.builds is not None and not all(0 < len(b) <= 200 for b in got.builds):
+    if submission.types is not None and not all(0 < len(name) <= MAX_NAME for name in submission.types):
         raise InvalidError("`$.builds`: empty or too long")
-    return JobSpec(
-        got.id,
-        got.lane,
-        got.crew,
-        _RANKS[got.rank],
-        got.parts,
-        got.cpus,
-        got.cards,
-        got.mem_gb,
-        got.bundle,
-        got.size_gb,
-        got.builds,
-        got.yard,
-        got.together,
-        got.apart,
-        got.loaners,
-        got.guess_s,
-        got.bookmark_s,
-        got.stash_s,
-        got.due_s,
-        _SHAPES[got.shape],
-    )
 
 
 def phase(state: State) -> str:
@@ -140,14 +173,14 @@
 
 
 def answer(state: State) -> bytes:
-    """The body of a query's answer."""
+    """The body of the response to a submission, a query or a cancellation."""
     return orjson.dumps(
         {"id": state.record.spec.id, "phase": phase(state), "done": state.done, "running": state.open}
     )
 
 
 def refusal(job_class: str, team: str, reason: str, level: int, revision: int) -> bytes:
-    """The body of a refusal for load, by the admission level of this number and revision."""
+    """The body of a refusal for load, by the admission level of this number, stored at this revision."""
     text = f"overload ({reason}): jobs of this class and team are admitted in part, try again later"
     return orjson.dumps(
         {
@@ -161,21 +194,23 @@
     )
 
 
-class _Rank(msgspec.Struct):
-    rank: str = ""
+class _Priority(msgspec.Struct):
+    """The one field of a submission that is read before the others are checked."""
+
+    priority: str = msgspec.field(name="rank", default="")
 
 
-_rank = msgspec.json.Decoder(_Rank)
+_priority = msgspec.json.Decoder(_Priority)
 
 
 def priority_of(body: bytes) -> int:
     """The priority that a submission names, unchecked otherwise; the lowest if it names none."""
     try:
-        return _RANKS.get(_rank.decode(body).rank, 0)
+        return _PRIORITIES.get(_priority.decode(body).priority, 0)
     except msgspec.DecodeError:
         return 0
 
 
 def error(text: str) -> bytes:
-    """The body of a refusal."""
+    """The body of any other refusal; `text` is cut to 500 characters."""
     return orjson.dumps({"error": text[:500]})
--- a/bayford/protocol/mesh.py
+++ b/bayford/protocol/mesh.py
@@ -1,4 +1,4 @@
-"""What controllers tell one another: over the mesh, and through the store when the mesh is cut."""
+"""What controllers send one another: over the mesh, and through the store when the mesh is cut."""
 
 import base64
 import zlib
@@ -7,30 +7,35 @@
 import msgspec
 import orjson
 
+from bayford.protocol.errors import ProtocolError
 from bayford.protocol.workers import Heartbeat, TaskState
 
 STATUS_PATH = "/mesh/status"
 CANCELLED_PATH = "/mesh/cancelled"  # unknown to the first two releases, which answer 404
-# Raised with each version that an older one may meet at a site. A controller says it to the others here and
+# Raised with each version that an older one may meet at a site. A controller announces it here and
 # nowhere else: a member's value is compared letter by letter, and rows and records take no unknown fields.
 RELEASE = 4
 
 
+class UnreadableHeartbeatsError(ProtocolError, ValueError):
+    """A text in a relay's record that is not what `pack_heartbeats` makes."""
+
+
 class Submitted(msgspec.Struct):
-    """A sample of the jobs that were submitted to one controller lately (`admission.distinct`)."""
+    """A sample of the jobs that were submitted to one controller of late (`admission.distinct`)."""
 
     threshold: int
     flows: list[tuple[int, str, str]]  # priority, class, team
-    jobs: list[tuple[int, int]]  # hash, which of the flows
+    jobs: list[tuple[int, int]]  # hash of the job's id, index into `flows`
 
 
 class Status(msgspec.Struct):
-    """One controller's view of the leadership record."""
+    """One controller's view of the leadership record, and what others need to know of it."""
 
     member: str
     fencing_token: int = msgspec.field(name="token")
     leader: str = msgspec.field(name="owner")
-    served: bool = False  # by the state service, lately
+    served: bool = False  # whether the state service answered it of late
     release: int = 1  # of the program; the first one did not say
     submitted: Submitted | None = None  # with admission on
 
@@ -40,27 +45,28 @@
 
 
 def encode_status(status: Status) -> bytes:
-    """For the mesh."""
+    """The body of a status."""
     return orjson.dumps(msgspec.to_builtins(status))
 
 
 def decode_status(body: bytes) -> Status:
-    """From the mesh; raises msgspec errors for anything else."""
+    """A status from its body; msgspec errors for anything else."""
     return _status.decode(body)
 
 
 def encode_cancelled(jobs: dict[str, float]) -> bytes:
-    """Confirmed cancellations: job and time of day."""
+    """The body of confirmed cancellations: job id -> time of day."""
     return orjson.dumps(jobs)
 
 
 def decode_cancelled(body: bytes) -> dict[str, float]:
-    """From the mesh; raises msgspec errors for anything else."""
+    """Confirmed cancellations from their body; msgspec errors for anything else."""
     return _cancelled.decode(body)
 
 
 def pack_heartbeat(heartbeat: Heartbeat) -> list[Any]:
-    """A heartbeat as a compact row of a relay's record."""
+    """A heartbeat as a compact list in a relay's record. Other releases read it: the order of the fields
+    stays."""
     return [
         heartbeat.machine,
         heartbeat.address,
@@ -71,33 +77,42 @@
         heartbeat.sequence,
         heartbeat.fencing_token,
         heartbeat.reclaim_notice_s,
-        [[t.task_id, t.attempt, t.phase, t.reason, int(t.checkpointed)] for t in heartbeat.tasks],
+        [
+            [task.task_id, task.attempt, task.phase, task.reason, int(task.checkpointed)]
+            for task in heartbeat.tasks
+        ],
     ]
 
 
-def unpack_heartbeat(row: list[Any]) -> Heartbeat:
-    """The inverse of `pack_heartbeat`."""
+def unpack_heartbeat(packed: list[Any]) -> Heartbeat:
+    """The inverse of `pack_heartbeat`. Fields that a later release may add at the end are passed over."""
+    machine, address, kind, zone, spot, epoch, sequence, fencing_token, reclaim_notice_s, tasks = packed[:10]
     return Heartbeat(
-        machine=row[0],
-        address=row[1],
-        type=row[2],
-        zone=row[3],
-        spot=bool(row[4]),
-        epoch=row[5],
-        sequence=row[6],
-        fencing_token=row[7],
-        reclaim_notice_s=row[8],
-        tasks=[
-            TaskState(task_id=t[0], attempt=t[1], phase=t[2], reason=t[3], checkpointed=bool(t[4]))
-            for t in row[9]
-        ],
+        machine=machine,
+        address=address,
+        type=kind,
+        zone=zone,
+        spot=bool(spot),
+        epoch=epoch,
+        sequence=sequence,
+        fencing_token=fencing_token,
+        reclaim_notice_s=reclaim_notice_s,
+        tasks=[_unpack_task(task) for task in tasks],
+    )
+
+
+def _unpack_task(packed: list[Any]) -> TaskState:
+    task_id, attempt, phase, reason, checkpointed = packed[:5]
+    return TaskState(
+        task_id=task_id, attempt=attempt, phase=phase, reason=reason, checkpointed=bool(checkpointed)
     )
 
 
-def pack_heartbeats(heartbeats: list[Heartbeat], most: int) -> list[str]:
-    """Reports as texts of at most `most` characters, as few as they fit into.
+def pack_heartbeats(heartbeats: list[Heartbeat], max_chars: int) -> list[str]:
+    """Heartbeats as texts of at most `max_chars` characters each, as few as they fit into. One that does
+    not fit by itself has a text that is longer.
 
-    In a cut between zones hundreds of machines speak through one relay, and each text is one of the few
+    In a cut between zones hundreds of machines are heard through one relay, and each text is one of the few
     changes a second that all controllers share. The heartbeats are much alike and shrink to a fifth. The
     alphabet of base 85 has no character that JSON escapes.
     """
@@ -105,15 +120,16 @@
         return []
     body = orjson.dumps([pack_heartbeat(heartbeat) for heartbeat in heartbeats])
     text = base64.b85encode(zlib.compress(body, 6)).decode()
-    if len(text) <= most or len(heartbeats) == 1:
+    if len(text) <= max_chars or len(heartbeats) == 1:
         return [text]
     half = len(heartbeats) // 2
-    return pack_heartbeats(heartbeats[:half], most) + pack_heartbeats(heartbeats[half:], most)
+    return pack_heartbeats(heartbeats[:half], max_chars) + pack_heartbeats(heartbeats[half:], max_chars)
 
 
 def unpack_heartbeats(text: str) -> list[Heartbeat]:
-    """The inverse, of one text; raises ValueError for anything else."""
+    """The heartbeats in one text; UnreadableHeartbeatsError, a ValueError, for anything else."""
     try:
-        return [unpack_heartbeat(row) for row in orjson.loads(zlib.decompress(base64.b85decode(text)))]
-    except (zlib.error, IndexError, TypeError) as bad:
-        raise ValueError(f"not reports: {bad!r}") from bad
+        body = zlib.decompress(base64.b85decode(text))
+        return [unpack_heartbeat(packed) for packed in orjson.loads(body)]
+    except (zlib.error, TypeError, ValueError) as error:
+        raise UnreadableHeartbeatsError(f"not heartbeats: {error!r}") from error
--- a/bayford/protocol/workers.py
+++ b/bayford/protocol/workers.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers and the orders they are answered with."""
+"""Heartbeats of workers and the commands that they are answered with."""
 
 import msgspec
 import orjson
@@ -7,15 +7,20 @@
 
 HEARTBEAT_PATH = "/v1/report"
 COMMANDS_PATH = "/commands"
-FULL, BUSY, UNKNOWN = "full", "busy", "unknown"
+
+# Why a task attempt ended (`TaskState.reason`).
+FULL, BUSY, UNKNOWN = "full", "busy", "unknown"  # its start was refused
 DONE, STOPPED, ERROR = "done", "halted", "error"
-PEERS, ALONE = "mates_gone", "incomplete"  # a gang that lost a task, or never came together
-START, STOP, REAP = "start", "halt", "reap"
+PEER_LOST, GANG_INCOMPLETE = "mates_gone", "incomplete"  # a gang lost a task, or never came together
+
+# What a task attempt is doing (`TaskState.phase`).
 FETCHING, GATHERING, RUNNING, CHECKPOINTING, ENDED = "pulling", "gathering", "running", "flushing", "ended"
 
+START, STOP, REAP = "start", "halt", "reap"  # verbs of commands
+
 
 class TaskState(msgspec.Struct):
-    """One task attempt on a machine, as its worker tells."""
+    """The status of one task attempt on a machine, as its worker reports it."""
 
     task_id: str = msgspec.field(name="part")
     attempt: int = msgspec.field(name="try")
@@ -25,7 +30,7 @@
 
 
 class Heartbeat(msgspec.Struct):
-    """A worker's heartbeat."""
+    """A worker's heartbeat. `sequence` orders those of one epoch."""
 
     machine: str = msgspec.field(name="dock")
     address: str = msgspec.field(name="addr")
@@ -48,7 +53,7 @@
 
 
 class Stop(msgspec.Struct):
-    """Stop a task attempt, giving it `grace_s` to save."""
+    """Stop a task attempt, giving it `grace_s` seconds to save a checkpoint."""
 
     task_id: str = msgspec.field(name="part")
     attempt: int = msgspec.field(name="try")
@@ -71,11 +76,11 @@
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat:
-    """Decode and check a heartbeat."""
+    """Decode and check a heartbeat; InvalidError names what is wrong, as on the wire."""
     try:
         heartbeat = _decoder.decode(body)
-    except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as bad:
-        raise InvalidError(str(bad)) from bad
+    except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise InvalidError(str(error)) from error
     if not heartbeat.machine or heartbeat.epoch < 0 or heartbeat.sequence < 0:
         raise InvalidError("a report without machine, session or tick")
     return heartbeat
@@ -88,27 +93,27 @@
 
 
 def encode_stop_commands(fencing_token: int, epoch: int, commands: list[Command]) -> bytes:
-    """The body of direct commands."""
+    """The body of commands that are sent to a worker outside a response."""
     return _encoder.encode(_Commands(fencing_token, epoch, commands))
 
 
-class _Answer(msgspec.Struct):
+class _Response(msgspec.Struct):
     fencing_token: int = msgspec.field(name="baton")
     commands: list[Command] = msgspec.field(name="orders")
 
 
 def encode_response(fencing_token: int, commands: list[Command]) -> bytes:
-    """The response that a worker executes."""
-    return _encoder.encode(_Answer(fencing_token, commands))
+    """The response to a heartbeat, whose commands the worker executes."""
+    return _encoder.encode(_Response(fencing_token, commands))
 
 
 def redirect(member: str | None) -> bytes:
-    """The body of a 421."""
+    """The body of a 421: which member leads, if that is known."""
     return orjson.dumps({} if member is None else {"foreman": member})
 
 
 def split_task(task_id: str) -> tuple[str, int] | None:
-    """`req-7/3` as job id and task number."""
+    """`req-7/3` as job id and task number; None for anything else."""
     job, slash, number = task_id.rpartition("/")
     if not slash or not number.isdigit():
         return None
