--- a/bayford/coordination/leader/heartbeat_handler.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -208,7 +208,7 @@
             for other in job.open.values():
                 if not other.stopping:
                     self._state.stop(other, job.spec.checkpoint_grace_s)
-        if state.reason not in (workers.STOPPED, workers.PEERS, workers.ALONE, workers.DONE):
+        if state.reason not in (workers.STOPPED, workers.PEER_LOST, workers.GANG_INCOMPLETE, workers.DONE):
             self._not_run(machine, placement, state, now)
 
     def _done(self, machine: Machine, placement: Placement, now: float) -> None:
