--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -205,7 +205,7 @@
     def _rebuild_task_log(self) -> None:
         layout_bytes = self._stored_layout_bytes()
         if layout_bytes is None:
-            log.error("task log unreadable: %s: not a layout, no task's state is known", LAYOUT)
+            log.error("task log unreadable: key=%s reason=not a layout", LAYOUT)
             return
         if layout_bytes != self.task_log.layout_bytes:
             self.task_log = TaskLog(layout_bytes)
@@ -338,7 +338,7 @@
         try:
             record = records.decode(row.value)
         except UnreadableError as error:
-            log.error("record unreadable: %s: %s", row.key, error)
+            log.error("record unreadable: key=%s reason=%s", row.key, error)
             raise UnavailableError(f"{row.key} can't be read") from error
         self._records[row.key] = (row.version, record)
         return record
