--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -22,6 +22,7 @@
     UnavailableError,
 )
 from bayford.storage.records import JOBS, LAYOUT, LOG, UnreadableError
+from bayford.storage.shared_reads import SharedReads
 from bayford.storage.task_log import Progress, TaskLog
 
 log = logging.getLogger(__name__)
@@ -97,11 +98,7 @@
         # As of which moment the cache is complete: the sending of the last read that was taken in. All that
         # was committed before then, by whomever, is here and has been delivered to the listener.
         self.as_of = NEVER
-        # Guards the three ticket numbers, and is notified whenever one of them changes.
-        self._tickets = threading.Condition()
-        self._last_requested = 0
-        self._last_served = 0
-        self._last_failed = 0
+        self._shared_reads = SharedReads(self._try_pull)
 
     # -- feeding ---------------------------------------------------------------------------------------
 
@@ -251,35 +248,11 @@
         """Wait until a read sent after this call has been taken in. False: not possible now."""
         if not self._threaded:
             return self._try_pull()
-        with self._tickets:
-            self._last_requested += 1
-            ticket = self._last_requested
-            self._tickets.notify_all()
-            deadline = time.monotonic() + timeout_s
-            while self._last_served < ticket:
-                if self._last_failed >= ticket:
-                    return False
-                left_s = deadline - time.monotonic()
-                if left_s <= 0:
-                    return False
-                self._tickets.wait(left_s)
-        return True
+        return self._shared_reads.wait(timeout_s)
 
     def serve_refreshes(self, gap_s: float) -> None:
-        """The thread behind `refresh`: one read for all who wait, at most one in `gap_s`. Never returns."""
-        while True:
-            with self._tickets:
-                while max(self._last_served, self._last_failed) >= self._last_requested:
-                    self._tickets.wait()
-                ticket = self._last_requested
-            succeeded = self._try_pull()
-            with self._tickets:
-                if succeeded:
-                    self._last_served = ticket
-                else:
-                    self._last_failed = ticket
-                self._tickets.notify_all()
-            time.sleep(gap_s)
+        """The thread behind `refresh`: one read for all who wait, at least `gap_s` apart. Never returns."""
+        self._shared_reads.serve(gap_s)
 
     def _try_pull(self) -> bool:
         try:
--- a/tools/task_log_crosscheck.py
+++ b/tools/task_log_crosscheck.py
@@ -108,6 +108,26 @@
     return changing, attempt
 
 
+def next_row(
+    rng: random.Random, task_log: Any, builder_class: Any, attempt: int, row_bytes: tuple[int, ...]
+) -> tuple[Any, int]:
+    """The value of the next row, with random changes and jobs that are over, and the last attempt.
+
+    `row_bytes`: the size of the row, for a version that takes one.
+    """
+    builder = builder_class(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40, *row_bytes)
+    changing, attempt = random_changes(rng, task_log, builder, attempt)
+    if rng.random() < 0.02 and task_log.jobs:
+        job = rng.choice(sorted(task_log.jobs))
+        if job not in changing and builder.has_space(job):
+            builder.add_over(job)
+    if row_bytes:
+        builder.add_snapshots(changing)
+    else:
+        builder.add_snapshots()
+    return orjson.loads(orjson.dumps(builder.build())), attempt
+
+
 def check_new_reader(fresh: Any, rows: list[Any], reader: Any, number: int) -> None:
     """A reader that begins with all rows in any order knows what the one knows that has read each."""
     fresh.rebuild(rows)
@@ -129,22 +149,11 @@
         if number > rounds * 2 // 3:
             writer = 1  # all are new now
         task_log: Any = readers[writer]
-        if writer == 0:
-            builder: Any = old.RowBuilder(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40)
-        else:
-            builder = RowBuilder(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40, short)
-        changing, attempt = random_changes(rng, task_log, builder, attempt)
-        if rng.random() < 0.02 and task_log.jobs:
-            job = rng.choice(sorted(task_log.jobs))
-            if job not in changing and builder.has_space(job):
-                builder.add_over(job)
-        if writer == 0:
-            builder.add_snapshots()
-        else:
-            builder.add_snapshots(changing)
+        builder_class = old.RowBuilder if writer == 0 else RowBuilder
+        row_bytes = () if writer == 0 else (short,)  # production's rows have the size of the layout
+        value, attempt = next_row(rng, task_log, builder_class, attempt, row_bytes)
         slot, before = task_log.next_slots(1)[0]
         assert stored.get(slot, (0, None))[0] == before, "the slot's version is known"
-        value = orjson.loads(orjson.dumps(builder.build()))
         assert len(orjson.dumps(value)) <= (layout if writer == 0 else short)
         version += 1
         stored[slot] = (version, value)
