--- a/bayford/coordination/leader/commit_loop.py
+++ b/bayford/coordination/leader/commit_loop.py
@@ -101,7 +101,7 @@
     def _on_applied(self, batch: CommitBatch, outcome: Outcome) -> None:
         # Into the watch cache first: a query answered from there must not lag behind what is acted upon.
         rows = [Row(put.key, put.value, outcome.revision) for put in batch.puts]
-        self._watch_cache.apply(rows, tell=False)
+        self._watch_cache.apply(rows, notify=False)
         self._scheduler.committed(batch)
         if batch.placements:
             self._signals.verify.set()  # the starts of these are about to be asked for
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -127,14 +127,14 @@
         reported = {(task.task_id, task.attempt): task for task in heartbeat.tasks}
         commands: list[workers.Command] = []
         placed: set[tuple[str, int]] = set()
-        for job_id, task, attempt, epoch, cancelled in self._watch_cache.placements_on(heartbeat.machine):
-            if epoch != heartbeat.epoch:
+        for placement in self._watch_cache.placements_on(heartbeat.machine):
+            if placement.epoch != heartbeat.epoch:
                 continue
-            key = (workers.task_name(job_id, task), attempt)
+            key = (workers.task_name(placement.job, placement.task), placement.attempt)
             placed.add(key)
-            if not cancelled and key not in reported:
+            if not placement.cancelled and key not in reported:
                 commands.append(workers.Start(*key))
-            elif cancelled and key in reported and reported[key].phase != workers.ENDED:
+            elif placement.cancelled and key in reported and reported[key].phase != workers.ENDED:
                 commands.append(workers.Stop(*key, 0.0))
         commands += [
             workers.Reap(*key)
--- a/bayford/recovery/task_outcomes.py
+++ b/bayford/recovery/task_outcomes.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from bayford.recovery.zone_record import Loss, RerunTask
-from bayford.storage.task_log import ranges, unrange
+from bayford.storage.task_ranges import decode_ranges, encode_ranges
 
 TaskKey = tuple[str, int]  # the job's id, the number of the task in it
 
@@ -97,8 +97,8 @@
     tasks_by_job: dict[str, list[int]] = {}
     for job_id, task in keys:
         tasks_by_job.setdefault(job_id, []).append(task)
-    return {job_id: ranges(tasks) for job_id, tasks in sorted(tasks_by_job.items())}
+    return {job_id: encode_ranges(tasks) for job_id, tasks in sorted(tasks_by_job.items())}
 
 
 def _keys(ranges_by_job: dict[str, list[int]]) -> set[TaskKey]:
-    return {(job_id, task) for job_id, flat in ranges_by_job.items() for task in unrange(flat)}
+    return {(job_id, task) for job_id, flat in ranges_by_job.items() for task in decode_ranges(flat)}
--- a/bayford/recovery/zone_record.py
+++ b/bayford/recovery/zone_record.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from bayford.storage import records
-from bayford.storage.task_log import unrange
+from bayford.storage.task_ranges import decode_ranges
 
 VERSION = 1
 MAX_LOSSES = 8  # that are stored of a zone
@@ -54,7 +54,7 @@
             ENDED_UNSEEN: self.ended_unseen,
         }
         for outcome, ranges_by_job in by_outcome.items():
-            tasks = sum(1 for ranges in ranges_by_job.values() for _ in unrange(ranges))
+            tasks = sum(1 for ranges in ranges_by_job.values() for _ in decode_ranges(ranges))
             totals[outcome] = totals.get(outcome, 0) + tasks
         totals[RERUN] = totals.get(RERUN, 0) + sum(len(tasks) for tasks in self.rerun.values())
         return totals
