--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -1,8 +1,8 @@
 """What the leader asks of the cloud: the catalog, the list of machines, launch requests and deletions.
 
 The decisions are the scheduler's; this carries them out within the cloud's rate of requests. Before anything
-is launched or deleted the controller must be sure to be the leader still: the decision may be older than
-that.
+is launched or deleted the controller must be verified to be the leader still, since the decision may be older
+than the last verification.
 """
 
 import logging
@@ -16,36 +16,40 @@
 from bayford.coordination.token_bucket import TokenBucket
 from bayford.protocol.cloud_api import Cloud, CloudBusyError, Listed, NoCapacityError
 
-log = logging.getLogger("bayford.cloud")
+log = logging.getLogger(__name__)
 
-LEADER_SHARE = 0.8  # of the cloud's rate: the other controllers ask for the catalog alone
-LAUNCH_QUEUE = 256  # requests of up to 50 machines each; what is over is decided anew
+LEADER_SHARE = 0.8  # of the cloud's rate of requests: the other controllers ask for the catalog alone
+LAUNCH_QUEUE_SIZE = 256  # requests of up to 50 machines each; one that finds no place is decided anew
 LAUNCH_ATTEMPTS = 4
-MAX_PER_LAUNCH = 50
+LAUNCH_RETRY_S = 0.5  # doubled with each attempt
+MAX_PER_LAUNCH = 50  # machines in a request
 MAX_PER_DELETION = 100
-PACE_S = 0.1
+PACE_S = 0.1  # between two looks at the token bucket
 PACE_ATTEMPTS = 100
 LIST_PERIOD_S = 2.0
-LIST_SHARE = 0.4  # of our rate, at the most: a long list must leave room for launch requests and deletions
+LIST_SHARE = 0.4  # of the leader's rate, at the most: the rest is left to launch requests and deletions
 LEADER_CATALOG_PERIOD_S = 25.0
 CATALOG_PERIOD_S = 60.0
-AFTER_CALL_S = 0.05
-AFTER_FAILED_DELETION_S = 0.5
+PAUSE_AFTER_CALL_S = 0.05
+PAUSE_AFTER_FAILED_DELETION_S = 0.5
 
 
 class LeadershipStatus(Protocol):
-    """What the calls need to know of the controller's standing."""
+    """What the calls need to know of the leadership."""
 
     def is_verified_leader(self) -> bool:
         """Whether this controller may act as the leader on the view it has."""
 
     def no_competing_leader(self) -> bool:
-        """Whether nobody can be sure to be the leader, and this controller was the last by the leadership
+        """Whether no controller can be verified to be the leader, and this one was the last by the leadership
         record."""
 
 
 class CloudOperations:
-    """The calls of one controller to the cloud."""
+    """The calls of one controller to the cloud.
+
+    Each `..._step` belongs to one thread, and returns the seconds to wait until it is called again.
+    """
 
     def __init__(
         self,
@@ -58,8 +62,9 @@
         pause: Callable[[threading.Event, float], object],
         on_change: Callable[[], None],
     ) -> None:
-        """`request_prefix` is this process's alone, so that no launch request is named like another.
-        `on_change`: there is something for the next scheduling round."""
+        """`rps` is the cloud's limit of requests per second. `request_prefix` is this process's alone, so
+        that no launch request is named like another. `on_change`: there is something for the next scheduling
+        round."""
         self._cloud = cloud
         self._scheduler = scheduler
         self._leadership = leadership
@@ -70,22 +75,22 @@
         self._clock = clock
         self._pause = pause
         self._on_change = on_change
-        self._launch_queue: queue.Queue[LaunchRequest] = queue.Queue(LAUNCH_QUEUE)
+        self._launch_queue: queue.Queue[LaunchRequest] = queue.Queue(LAUNCH_QUEUE_SIZE)
         self._deletions: queue.Queue[str] = queue.Queue()  # each machine is in it once at the most
 
     def carry_out(self, step: ScalingActions) -> None:
         """Queue what the scheduler has decided."""
-        for order in step.launches:
+        for request in step.launches:
             try:
-                self._launch_queue.put_nowait(order)
+                self._launch_queue.put_nowait(request)
             except queue.Full:
                 # Waiting for a place would hold up the deletions behind it, of cancelled work's machines too.
-                self._scheduler.on_launch_failed(order)
+                self._scheduler.on_launch_failed(request)
         for deletion in step.deletions:
             self._deletions.put(deletion.machine)
 
     def pace(self) -> None:
-        """Wait for a place under the cloud's limit of requests."""
+        """Wait until the cloud's limit of requests allows one more, PACE_ATTEMPTS * PACE_S at the most."""
         for _ in range(PACE_ATTEMPTS):
             if self._rate.available() >= 1.0:
                 break
@@ -93,7 +98,7 @@
         self._rate.take(1.0)
 
     def list_step(self) -> float:
-        """Read the list of machines, page by page within the rate; how long to wait until the next time."""
+        """Read the list of machines, page by page within the rate."""
         if not self._scheduler.leader:
             return LIST_PERIOD_S
         began = self._clock()
@@ -110,7 +115,7 @@
         return max(LIST_PERIOD_S, pages / (self._rps * LIST_SHARE) - (self._clock() - began))
 
     def catalog_step(self) -> float:
-        """Read the catalog; prices move."""
+        """Read the catalog; prices change."""
         self.pace()
         types = self._cloud.catalog()
         first = not self._scheduler.types
@@ -122,31 +127,38 @@
     def launch_step(self) -> float:
         """Carry out the next launch request."""
         self.launch(self._launch_queue.get())
-        return AFTER_CALL_S
+        return PAUSE_AFTER_CALL_S
 
-    def launch(self, order: LaunchRequest) -> None:
+    def launch(self, request: LaunchRequest) -> None:
         """Launch under a name that no request, of whatever process, has had before."""
         self._requests += 1
-        request = f"{self._request_prefix}-{self._requests}"
-        count = min(order.count, MAX_PER_LAUNCH)
-        at = self._clock()
-        names: list[str] = []
+        name = f"{self._request_prefix}-{self._requests}"
+        count = min(request.count, MAX_PER_LAUNCH)
+        began = self._clock()
+        machines: list[str] = []
         for attempt in range(LAUNCH_ATTEMPTS):
             self.pace()
             if not self._leadership.is_verified_leader():
-                self._scheduler.on_launch_failed(order)
+                self._scheduler.on_launch_failed(request)
                 return
             try:
-                names = self._cloud.launch(request, order.type, order.zone, order.spot, count)
+                machines = self._cloud.launch(name, request.type, request.zone, request.spot, count)
                 break
             except NoCapacityError:
                 break
-            except CloudBusyError as bad:
+            except CloudBusyError as error:
                 # The same request may be repeated: if it was carried out, the answer is the same.
-                log.info("rental %s: %s", request, bad)
-                self._pause(threading.Event(), 0.5 * 2**attempt)
-        log.debug("rental %s (%s): %s", request, order.reason, names)
-        self._scheduler.on_launched(order, names, at)
+                log.info(
+                    "launch request not answered: request=%s attempt=%d error=%s", name, attempt + 1, error
+                )
+                self._pause(threading.Event(), LAUNCH_RETRY_S * 2**attempt)
+        log.debug(
+            "launch request answered: request=%s reason=%s machines=%s",
+            name,
+            request.reason,
+            ",".join(machines),
+        )
+        self._scheduler.on_launched(request, machines, began)
 
     def delete_step(self) -> float:
         """Carry out the next deletions, many in a request."""
@@ -156,14 +168,14 @@
                 names.append(self._deletions.get_nowait())
             except queue.Empty:
                 break
-        return AFTER_CALL_S if self.delete(names) else AFTER_FAILED_DELETION_S
+        return PAUSE_AFTER_CALL_S if self.delete(names) else PAUSE_AFTER_FAILED_DELETION_S
 
     def delete(self, names: list[str]) -> bool:
-        """Delete machines; only the cloud's 200 proves that their tasks are gone."""
+        """Delete machines, and say whether the cloud confirmed it; only its 200 proves that their tasks are
+        gone."""
         self.pace()
-        if (
-            not self._leadership.is_verified_leader()
-        ):  # decided before a standstill perhaps, and another's by now
+        if not self._leadership.is_verified_leader():
+            # Decided before a pause of this process perhaps, and the machines are another leader's by now.
             overdue = self._scheduler.overdue() if self._leadership.no_competing_leader() else set()
             self._scheduler.not_deleted([name for name in names if name not in overdue])
             names = [name for name in names if name in overdue]
@@ -171,8 +183,8 @@
                 return False
         try:
             self._cloud.delete(names)
-        except CloudBusyError as bad:
-            log.info("deleting %s: %s", names, bad)
+        except CloudBusyError as error:
+            log.info("deletion not confirmed: machines=%s error=%s", ",".join(names), error)
             self._scheduler.not_deleted(names)
             return False
         self._scheduler.deleted(names)
--- a/bayford/coordination/leader/recovered_state.py
+++ b/bayford/coordination/leader/recovered_state.py
@@ -15,8 +15,8 @@
     jobs: Sequence[StoredJob] = ()
     next_attempt: int = 1
     # The version of the leadership record that made this controller leader: every write of the term names
-    # it. Never the version of the newest record seen: that may already be another leader's, and our writes
-    # would pass under it.
+    # it. Never the version of the newest record seen: that may already be another leader's, and the writes
+    # of this controller would be applied under it.
     term: int = 0
     fencing_token: int = 0
     as_of: float = NEVER  # steady clock: when the read of all this was sent
--- a/bayford/scheduling/quota.py
+++ b/bayford/scheduling/quota.py
@@ -1,7 +1,7 @@
 """Team limits and guarantees, counted over open placements.
 
-A placement counts from before its start goes out until it is closed on evidence, so what the team's
-tasks really use can never be more than what is counted here.
+A placement counts from before its start goes out until it is closed on evidence, so what the team's tasks
+really use can never be more than what is counted here. Guarded by the lock of the leader's state.
 """
 
 from dataclasses import dataclass
@@ -14,11 +14,11 @@
     """One team's guarantee, limit and use. Without a limit `cpus_max` or `gpus_max` is infinite."""
 
     name: str
-    cpus: float
+    cpus: float  # guaranteed, 0 for none
     cpus_max: float
-    gpus: float
+    gpus: float  # guaranteed, 0 for none
     gpus_max: float
-    used_cpus: float = 0.0
+    used_cpus: float = 0.0  # by open placements
     used_gpus: float = 0.0
 
     def reserve(self, spec: JobSpec) -> None:
@@ -27,7 +27,7 @@
         self.used_gpus += spec.gpus
 
     def release(self, spec: JobSpec) -> None:
-        """A placement was closed."""
+        """Undo `reserve` for one placement that was closed."""
         self.used_cpus -= spec.cpus
         self.used_gpus -= spec.gpus
 
@@ -45,21 +45,21 @@
 
     def headroom(self, spec: JobSpec) -> int:
         """How many more such tasks the limit allows."""
-        return self._count(spec, self.cpus_max, self.gpus_max)
+        return self._tasks_within(spec, self.cpus_max, self.gpus_max)
 
     def unmet_guarantee(self, spec: JobSpec) -> int:
         """How many more such tasks lie within the guarantee."""
-        return self._count(spec, self.cpus, self.gpus)
+        return self._tasks_within(spec, self.cpus, self.gpus)
 
-    def _count(self, spec: JobSpec, cpus: float, gpus: float) -> int:
-        most = float(spec.tasks)
+    def _tasks_within(self, spec: JobSpec, cpus: float, gpus: float) -> int:
+        count = float(spec.tasks)
         if spec.cpus > 0:
-            most = min(most, (cpus - self.used_cpus + EPS) / spec.cpus)
+            count = min(count, (cpus - self.used_cpus + EPS) / spec.cpus)
         if spec.gpus > 0:
-            most = min(most, (gpus - self.used_gpus + EPS) / spec.gpus)
-        return max(0, int(most))
+            count = min(count, (gpus - self.used_gpus + EPS) / spec.gpus)
+        return max(0, int(count))
 
     @property
     def exceeds_guarantee(self) -> bool:
-        """Whether the team borrows: it uses more than its guarantee."""
+        """Whether the team uses more than its guarantee."""
         return self.used_cpus > self.cpus + EPS or self.used_gpus > self.gpus + EPS
