--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -6,8 +6,7 @@
 import logging
 import math
 import random
-import threading
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Mapping
 from types import MappingProxyType
 from typing import Any, Protocol, TypeVar
 
@@ -16,11 +15,12 @@
 from bayford.coordination.leader import run_time_estimator
 from bayford.coordination.leader.commit_batch import CommitBatch, Migration
 from bayford.coordination.leader.leader_events import LeaderEvents
+from bayford.coordination.leader.machine_registry import AttemptKey as AttemptKey
+from bayford.coordination.leader.machine_registry import MachineRegistry
 from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.coordination.store_limits import StoreLimits
 from bayford.protocol import workers
 from bayford.scheduling import scaling
-from bayford.scheduling.capacity_index import CapacityIndex
 from bayford.scheduling.model import (
     SERVICE,
     SERVICE_RUN_S,
@@ -29,7 +29,6 @@
     Job,
     JobSpec,
     Machine,
-    MachineType,
     Placement,
 )
 from bayford.scheduling.policy import Policy
@@ -40,7 +39,6 @@
 
 log = logging.getLogger("bayford.engine")
 
-AttemptKey = tuple[str, int]  # task name, attempt
 ROOM_KEPT_S = 4.0  # how long room that was made for a job is kept for it
 
 
@@ -54,7 +52,7 @@
         """Run something short on the task log, which `call` must not keep."""
 
 
-class LeaderState:
+class LeaderState(MachineRegistry):
     """Jobs, machines, shares and versions of this controller while it is leader."""
 
     def __init__(
@@ -66,19 +64,14 @@
         rng: random.Random,
     ) -> None:
         facts = settings.facts
+        super().__init__(facts.zones)
         self.settings = settings
         self.policy = policy
         self.clock = clock
         self.wall = wall
         self.rng = rng
-        self.lock = threading.Lock()
-        self.machine_names = Interner()
-        self.zones = Interner(facts.zones)
-        self.type_names = Interner()
         self.team_names = Interner(t.name for t in facts.teams)
-        self.images = Interner()
         self.classes = Interner()
-        self.types: list[MachineType] = []
         self.limits = StoreLimits(facts.state)
         self.run_times = run_time_estimator.RunTimeEstimator()
         self.events = LeaderEvents()
@@ -102,6 +95,7 @@
         self._clear()
 
     def _clear(self) -> None:
+        self.clear_machines()
         self.leader = False
         self.complete = False
         self.term = -1
@@ -113,14 +107,7 @@
         self.in_flight: CommitBatch | None = None
         self.pending_completions: dict[str, None] = {}
         self.next_attempt = 1
-        self.machines: dict[int, Machine] = {}
-        self.capacity_index = CapacityIndex()  # those with some CPU or card free
-        self.reclaim_pending: dict[int, Machine] = {}  # those that the cloud is about to take
         self.stopping: dict[Placement, None] = {}
-        self.seen: dict[
-            int, dict[AttemptKey, str]
-        ] = {}  # what the last heartbeat said: phase of each attempt
-        self.deleted_machines: set[str] = set()
         self.quotas = [
             TeamQuota(t.name, t.cpus, t.cpus_max or math.inf, t.gpus, t.gpus_max or math.inf)
             for t in self.settings.facts.teams
@@ -133,7 +120,6 @@
         self.leader_since = 0.0
         self.recovered_predecessor = False  # machines or work of a leader before us
         self.listed_at = NEVER  # when the cloud's last list was asked for
-        self.summarized_images: Mapping[str, Sequence[str]] = {}
         self.launching: dict[scaling.MachinePool, int] = {}
         self.urgent_jobs: list[tuple[float, float]] = []  # when accepted, CPUs
         self.recent_services: list[tuple[float, JobSpec]] = []  # services accepted lately, and when
@@ -144,7 +130,6 @@
         self.balance_asked = 0  # rounds in which work waited although its team has room
         self.balance_tried = 0  # jobs in them for which moves were looked for
         self.preempt_at = NEVER
-        self.image_gb: dict[int, float] = {}
         self.images_at = NEVER
         self.local_images: frozenset[int] = frozenset()
         self.moves = 0
@@ -256,53 +241,6 @@
         task_id = workers.task_name(job.spec.id, task)
         return Placement(job, task, attempt, machine.index, epoch, task_id)
 
-    def machine_named(self, name: str, now: float) -> Machine:
-        """The machine of this name, a new one if nothing of it was known."""
-        index = self.machine_names.index(name)
-        machine = self.machines.get(index)
-        if machine is None:
-            machine = Machine(index, name, last_heartbeat_at=now, launched_at=now, idle_since=now)
-            machine.images = {self.images.index(i): True for i in self.summarized_images.get(name, ())}
-            for image in machine.images:
-                self.capacity_index.holds(machine, image)
-            self.machines[index] = machine
-            self.seen[index] = {}
-        return machine
-
-    def learn_type(self, machine: Machine, type_name: str) -> None:
-        """Take in a machine's type, and with it its size, unless it is known already."""
-        index = self.type_names.index(type_name)
-        if machine.type is not None or index >= len(self.types):
-            return
-        kind = self.types[index]
-        if not kind.zones:  # named by a job, unknown to the cloud's catalog
-            return
-        machine.type = index
-        machine.cpus, machine.gpus, machine.mem_gb = kind.cpus, kind.gpus, kind.mem_gb
-        machine.free_cpus += kind.cpus  # what is booked already was subtracted from 0
-        machine.free_gpus += kind.gpus
-        machine.free_mem += kind.mem_gb
-        self.capacity_index.update(machine)
-
-    def use_image(self, machine: Machine, job: Job, there: bool) -> None:
-        """A task of the job is on the machine, and with `there` its image too. The machine keeps those that
-        were used last, so in our snapshot the ones used longest ago go when the cache is full."""
-        had = machine.images.pop(job.image, False)
-        machine.images[job.image] = had or there
-        self.capacity_index.holds(machine, job.image)
-        self.image_gb[job.image] = job.spec.image_gb
-        cache = self.types[machine.type].cache_gb if machine.type is not None else 0.0
-        if had or not there or not cache:
-            return
-        used = {placement.job.image for placement in machine.open.values()} | {job.image}
-        left = sum(self.image_gb.get(image, 0.0) for image in machine.images) - cache
-        for image in [i for i in machine.images if i not in used]:
-            if left <= 0:
-                break
-            del machine.images[image]
-            self.capacity_index.dropped(machine, image)
-            left -= self.image_gb.get(image, 0.0)
-
     def book(self, job: Job, machine: Machine, placement: Placement) -> None:
         """Count a placement: from now on until evidence closes it."""
         job.open[placement.task] = placement
@@ -312,17 +250,6 @@
         self.capacity_index.update(machine)
         self.quotas[job.team].reserve(job.spec)
 
-    def zone_of(self, machine: int) -> int | None:
-        """Where a machine stands, None if that is not known yet."""
-        found = self.machines.get(machine)
-        return None if found is None else found.zone
-
-    def fetch_s(self, job: Job, machine: Machine) -> float:
-        """How long the machine fetches the job's image, if it has the whole rate for it."""
-        if machine.type is None:
-            return 0.0
-        return job.spec.image_gb / max(self.types[machine.type].fetch_gb_per_s, 0.01)
-
     def expected(self, job: Job) -> float:
         """Expected run time of one task, corrected by what has been seen of the class."""
         if job.spec.shape == SERVICE:
@@ -469,29 +396,7 @@
                 if m.registered and not m.deleting
             ]
 
-    def set_types(self, types: list[MachineType]) -> None:
-        """The catalog, as the cloud gave it; prices move, so this comes again and again."""
-        with self.lock:
-            for kind in types:
-                self.type_names.index(kind.name)
-            table = {kind.name: kind for kind in types}
-            kept = {t.name: t for t in self.types}
-            for name in self.type_names.names:
-                if name in kept and name not in table:
-                    table[name] = kept[name]
-            # A name that a job alone brought up has no row; types[] must follow types_by exactly.
-            sent_commands = []
-            for name in self.type_names.names:
-                unknown = MachineType(name, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 1.0, ())
-                sent_commands.append(table.get(name, unknown))
-            self.types = sent_commands
-
     def team_quota(self, team: str) -> TeamQuota | None:
         """The guarantee and limit of a team, None for an unknown one."""
         index = self.team_names.find(team)
         return None if index is None else self.quotas[index]
-
-    def catalog(self) -> list[MachineType]:
-        """The types that the cloud has, empty before the first catalog."""
-        with self.lock:
-            return [t for t in self.types if t.zones]
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -22,6 +22,7 @@
 from bayford.coordination.leader.leader_events import LeaderListener
 from bayford.coordination.leader.leader_state import LeaderState, TaskLogSource
 from bayford.coordination.leader.scheduling_round import SchedulingRound
+from bayford.coordination.leader.worker_commands import WorkerCommands
 from bayford.coordination.leader.zone_monitor import ZoneMonitor
 from bayford.coordination.store_limits import StoreLimits
 from bayford.recovery.zone_health import LeadershipFacts
@@ -44,6 +45,7 @@
         self.state = LeaderState(settings, policy, clock, wall, rng)
         self.commits = GroupCommit(self.state)
         self.heartbeats = HeartbeatHandler(self.state)
+        self.commands = WorkerCommands(self.state)
         self.scheduling = SchedulingRound(self.state)
         self.autoscaler = Autoscaler(self.state, self.scheduling)
         self.zone_monitor = ZoneMonitor(self.state)
@@ -66,9 +68,9 @@
         self.on_heartbeat = self.heartbeats.on_heartbeat
         self.worker_contact = self.heartbeats.worker_contact
         self.on_answered = self.heartbeats.on_answered
-        self.commands_for = self.heartbeats.commands_for
-        self.stop_commands_for = self.heartbeats.stop_commands_for
-        self.hold_s = self.heartbeats.hold_s
+        self.commands_for = self.commands.commands_for
+        self.stop_commands_for = self.commands.stop_commands_for
+        self.hold_s = self.commands.hold_s
         self.round = self.scheduling.round
         self.waiting = self.scheduling.waiting
         self.on_list = self.autoscaler.on_list
