--- a/bayford/coordination/leader/task_failures.py
+++ b/bayford/coordination/leader/task_failures.py
@@ -1,16 +1,22 @@
-"""Tasks that failed or were refused: who is to blame, and when they are tried again."""
+"""Tasks that failed or were refused: who is to blame, and when the job or replica is tried again."""
 
 import logging
 
 from bayford.coordination.leader.leader_state import LeaderState
-from bayford.coordination.leader.machine_health import RUNS_S, MachineHealth
+from bayford.coordination.leader.machine_health import MIN_HEALTHY_RUN_S, MachineHealth
 from bayford.protocol import workers
 from bayford.scheduling.model import Job, Machine, Placement
 
-log = logging.getLogger("bayford.engine")
+log = logging.getLogger(__name__)
 
-STEADY_S = 30.0  # a replica of a service that ran for so long begins anew
-REST_S = 30.0  # and one that ends at every start waits for so long at the most
+MIN_STEADY_RUN_S = 30.0  # after a run of this length a replica's back-off begins anew
+MAX_REPLICA_BACKOFF_S = 30.0
+MAX_JOB_BACKOFF_S = 60.0
+MAX_BACKOFF_DOUBLINGS = 5
+JOB_FAULT_BACKOFF_S = 8.0  # the first back-off of a job that fails on every machine
+REFUSED_BACKOFF_S = 2.0  # of a job that a worker refused to run
+FULL_MACHINE_BACKOFF_S = 1.0
+MAX_FAILED_MACHINES = 8  # so many machines a job avoids because it failed there; with more it avoids none
 
 
 class TaskFailures:
@@ -20,69 +26,78 @@
         self._state = state
         self._health = health
 
-    def not_run(self, machine: Machine, placement: Placement, state: workers.TaskState, now: float) -> None:
+    def on_not_run(self, machine: Machine, placement: Placement, reason: str | None, now: float) -> None:
         """A task has failed, or its machine has refused it."""
         job = placement.job
-        if state.reason == workers.FULL:
-            # The late snapshot was wrong; wait for a newer heartbeat before trying this machine again.
+        if reason == workers.FULL:
+            # The placement was decided on an outdated view of the machine; wait for a newer heartbeat.
             self._state.refusals += 1
-            machine.backoff_until = now + 1.0
-            log.debug("machine %s refused %s: full", machine.name, placement.task_id)
-        elif state.reason == workers.ERROR:
-            self._failed(machine, job, placement.task_id, now)
+            machine.backoff_until = now + FULL_MACHINE_BACKOFF_S
+            log.debug("task refused: task=%s machine=%s reason=full", placement.task_id, machine.name)
+        elif reason == workers.ERROR:
+            self._on_failed(machine, job, placement.task_id, now)
         else:
-            log.info("machine %s refused %s: %s", machine.name, placement.task_id, state.reason)
-            if state.reason == workers.UNKNOWN and job.not_before <= now:
+            log.info("task refused: task=%s machine=%s reason=%s", placement.task_id, machine.name, reason)
+            if reason == workers.UNKNOWN and job.not_before <= now:
                 # A submission that its user gave up on and that was executed late: no worker may ever know
-                # it. Tried every other second it would keep room from everybody else for ever.
-                self._back_off(job, now, 2.0)
-            job.not_before = max(job.not_before, now + 2.0)
+                # it. Tried every other second it would keep capacity from all others for ever.
+                self._back_off(job, now, REFUSED_BACKOFF_S)
+            job.not_before = max(job.not_before, now + REFUSED_BACKOFF_S)
 
-    def back_off_replica(self, job: Job, placement: Placement, now: float) -> None:
-        """A replica of a service has ended by itself: again at once, but one that ends again and again only
-        after a while, each time a longer one. The job's other replicas go on."""
-        ran = placement.running_since is not None and now - placement.running_since > STEADY_S
-        consecutive_exits = 0 if ran else job.consecutive_exits.get(placement.task, 0)
+    def on_replica_ended(self, job: Job, placement: Placement, now: float) -> None:
+        """A replica of a service has ended by itself: it is started again at once, but one that ends again
+        and again only after a while, each time a longer one. The job's other replicas go on."""
+        ran_steadily = (
+            placement.running_since is not None and now - placement.running_since > MIN_STEADY_RUN_S
+        )
+        consecutive_exits = 0 if ran_steadily else job.consecutive_exits.get(placement.task, 0)
         job.consecutive_exits[placement.task] = consecutive_exits + 1
         if consecutive_exits:
-            job.backing_off[placement.task] = now + min(REST_S, 2.0 ** min(consecutive_exits - 1, 10))
+            wait_s = min(MAX_REPLICA_BACKOFF_S, 2.0 ** min(consecutive_exits - 1, 10))
+            job.backing_off[placement.task] = now + wait_s
         else:
             job.requeue(placement.task)
 
     def _back_off(self, job: Job, now: float, first_s: float) -> float:
-        """Try the job again only after a while, each time a longer one."""
-        wait = min(60.0, first_s * 2.0 ** min(job.backoff_count, 5))
+        """Try the job again only after a while, each time a longer one; the seconds until then."""
+        wait_s = min(MAX_JOB_BACKOFF_S, first_s * 2.0 ** min(job.backoff_count, MAX_BACKOFF_DOUBLINGS))
         job.backoff_count += 1
-        job.not_before = now + wait
-        return wait
+        job.not_before = now + wait_s
+        return wait_s
 
-    def _failed(self, machine: Machine, job: Job, task_id: str, now: float) -> None:
+    def _on_failed(self, machine: Machine, job: Job, task_id: str, now: float) -> None:
         """A task failed: blame the machine if it fails several jobs, the job if it fails everywhere."""
         job.errors += 1
         job.failed_on.add(machine.index)
         machine.failed_at = now
         machine.failed_jobs[job.spec.id] = machine.failed_jobs.get(job.spec.id, 0) + 1
         log.error(
-            "run failed: task %s on %s (%d failed runs of the job, on %d machines)",
+            "task failed: task=%s machine=%s job_failures=%d job_failed_machines=%d",
             task_id,
             machine.name,
             job.errors,
             len(job.failed_on),
         )
-        # Of hundreds of machines some are sick at the same time, and a large array meets several of them: as
-        # long as it runs elsewhere, the fault is not the job's.
-        runs = bool(job.done) or any(
-            p.running_since is not None and now - p.running_since > RUNS_S and p.machine not in job.failed_on
-            for p in job.open.values()
-        )
-        if len(job.failed_on) >= self._state.policy.job_fault_machines and not runs and job.is_service:
-            job.failed_on.clear()  # its replicas rest, each by itself
-            return
-        if len(job.failed_on) >= self._state.policy.job_fault_machines and not runs:
-            wait = self._back_off(job, now, 8.0)
+        runs_elsewhere = self._runs_elsewhere(job, now)
+        if len(job.failed_on) >= self._state.policy.job_fault_machines and not runs_elsewhere:
             job.failed_on.clear()
-            log.error("job %s fails on every machine; next try in %.0f s", job.spec.id, wait)
+            if not job.is_service:  # replicas of a service back off, each by itself
+                wait_s = self._back_off(job, now, JOB_FAULT_BACKOFF_S)
+                log.error("job back-off, it fails on every machine: job=%s wait_s=%.0f", job.spec.id, wait_s)
             return
-        if len(job.failed_on) > 8:
+        if len(job.failed_on) > MAX_FAILED_MACHINES:
             job.failed_on.clear()
-        self._health.on_task_failed(machine, job, runs, now)
+        self._health.on_task_failed(machine, job, runs_elsewhere, now)
+
+    def _runs_elsewhere(self, job: Job, now: float) -> bool:
+        """Whether the job runs on machines on which it has not failed.
+
+        Of hundreds of machines some are faulty at the same time, and a large array meets several of them: as
+        long as it runs elsewhere, the fault is not the job's.
+        """
+        return bool(job.done) or any(
+            placement.running_since is not None
+            and now - placement.running_since > MIN_HEALTHY_RUN_S
+            and placement.machine not in job.failed_on
+            for placement in job.open.values()
+        )
