--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
 
-from bayford.coordination.leader.heartbeat_handler import RUNS_S
 from bayford.coordination.leader.leader_state import LeaderState
+from bayford.coordination.leader.machine_health import MIN_HEALTHY_RUN_S
 from bayford.coordination.leader.scheduling_round import SchedulingRound
 from bayford.protocol.cloud_api import Listed
 from bayford.scheduling import placement_rules, scaling
@@ -258,7 +258,9 @@
         boot = min((kind.boot_s for kind in self._state.types if kind.zones), default=0.0)
         # Where a service may take longer to start than a machine to boot, less has to be up beforehand.
         hurry = (
-            min(1.0, boot / self._state.service_start_target_s) if self._state.service_start_target_s else 1.0
+            min(1.0, boot / self._state.objectives.service_start_target_s)
+            if self._state.objectives.service_start_target_s
+            else 1.0
         )
         known = []
         for job in self._state.jobs.values():
@@ -271,7 +273,7 @@
             lately = self._state.jobs.get(spec.id)
             if lately is not None:
                 count(self._pools(lately), spec, spec.tasks)
-        if self._state.service_classes or known:
+        if self._state.objectives.service_classes or known:
             ordinary = frozenset(
                 scaling.MachinePool(index, self._state.zones.index(zone), False)
                 for index, kind in enumerate(self._state.types)
@@ -528,7 +530,7 @@
         """Whether replicas of services run on this machine all the same. It fails what it starts; to delete
         it for that would end what runs, and a replica started elsewhere is away meanwhile."""
         return not machine.lost and any(
-            p.job.is_service and p.running_since is not None and now - p.running_since > RUNS_S
+            p.job.is_service and p.running_since is not None and now - p.running_since > MIN_HEALTHY_RUN_S
             for p in machine.open.values()
         )
 
--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -6,11 +6,11 @@
 import logging
 
 from bayford.coordination.leader.commit_batch import Migration
-from bayford.coordination.leader.leader_state import AttemptKey, LeaderState
+from bayford.coordination.leader.leader_state import LeaderState
 from bayford.coordination.leader.migrator import Migrator
 from bayford.protocol import workers
 from bayford.scheduling import placement_rules, tempered
-from bayford.scheduling.model import EPS, GANG, SERVICE, Job, Machine
+from bayford.scheduling.model import EPS, GANG, SERVICE, AttemptKey, Job, Machine
 
 log = logging.getLogger("bayford.engine")
 
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -9,11 +9,11 @@
 
 from bayford.coordination.leader.balancer import Balancer
 from bayford.coordination.leader.commit_batch import Migration
-from bayford.coordination.leader.leader_state import AttemptKey, LeaderState
+from bayford.coordination.leader.leader_state import LeaderState
 from bayford.coordination.leader.migrator import Migrator
 from bayford.protocol import workers
 from bayford.scheduling import tempered
-from bayford.scheduling.model import ARRAY, Job, Machine, Placement
+from bayford.scheduling.model import ARRAY, AttemptKey, Job, Machine, Placement
 from bayford.spread.machine_snapshot import MachineSnapshot, picture
 from bayford.spread.rebalance import Rebalancing, rebalance
 from bayford.spread.score import Choice, Chooser, Weights, describe
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -287,7 +287,7 @@
 def test_room_is_launched_for_services_before_they_come_and_kept_while_they_stand():
     w = ordinary(0)
     scheduler = w.nodes["n0"].scheduler
-    scheduler.state.service_classes = {"desk"}  # as the aims of a site with services name them
+    scheduler.state.objectives.service_classes = {"desk"}  # as the aims of a site with services name them
     w.fleet("n0")
     assert {(x.kind.name, x.spot) for x in w.workers.values()} == {("small", False)}
     floor = len(w.workers)
@@ -308,7 +308,7 @@
         w.fleet("n0")
     assert sum(not x.spot for x in w.workers.values()) >= floor, "empty machines of the reserve stay"
     w.cancel("n0", "req-000002")
-    scheduler.state.service_classes = set()
+    scheduler.state.objectives.service_classes = set()
     for _ in range(200):
         w.step(1.0)
         w.fleet("n0")
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -7,7 +7,7 @@
 from bayford.clock import NEVER
 from bayford.coordination.controller import Controller
 from bayford.coordination.leader.autoscaler import LaunchRequest
-from bayford.coordination.leader.leader_state import LeaderState
+from bayford.coordination.leader.job_records import JobRecords
 from bayford.protocol.cloud_api import NoCapacityError
 from bayford.storage import records
 from bayford.storage.counting_store import CountingStore
@@ -886,7 +886,7 @@
         w.submit("n0", w.job(number, parts=5, guess_s=guess))  # more than the guarantee, so borrowed
     wait(w, 2.0, fleet=False)
     assert {p.split("/")[0] for p in running(w)} == {"req-000002"}
-    scheduler.state.completion_targets_s = {"sweep": 60.0}
+    scheduler.state.objectives.completion_targets_s = {"sweep": 60.0}
     for task_id in running(w):
         w.finish(task_id)
     wait(w, 2.0, fleet=False)
@@ -1066,14 +1066,14 @@
 
 def test_a_job_that_comes_while_a_new_leader_reads_the_records_is_not_overlooked(monkeypatch):
     w = quiet()
-    recover = LeaderState.recover
+    recover = JobRecords.recover
 
     def slow(scheduler, recovered):
         # Seen by the watch cache when there is no leader yet to be told.
         assert w.submit("n0", w.job(1)) == 201
         recover(scheduler, recovered)
 
-    monkeypatch.setattr(LeaderState, "recover", slow)
+    monkeypatch.setattr(JobRecords, "recover", slow)
     w.boot("n0")  # its old incarnation is gone from the leadership record at once, so it takes over here
     for _ in range(3):
         w.step()
