--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -148,7 +148,7 @@
         )
         self.uncounted_migrations: dict[str, list[Migration]] = {}  # by job; their counts are not written yet
         self.obsolete_counts: dict[str, None] = {}  # jobs that are over and whose counts may be deleted
-        self.moves = 0
+        self.moves = 0  # migrations that were begun
 
     def _clear_scaling(self) -> None:
         self.listed_at = NEVER  # when the cloud's last list of machines was asked for
@@ -311,8 +311,8 @@
         return spare_s - min(MAX_STALENESS_MARGIN_S, STALENESS_MARGIN_SHARE * spare_s)
 
     def summary(self) -> list[tuple[str, float, list[str]]]:
-        """What the other controllers are told now and then: name, share of CPUs in use and images of each
-        machine; nothing unless this controller is the leader. Takes the lock."""
+        """The load summary for the other controllers: name, share of CPUs in use and images of each machine;
+        empty unless this controller is the leader. Takes the lock."""
         with self.lock:
             if not self.leader:
                 return []
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -227,7 +227,7 @@
         return self.autoscaler.scaling_step(listening)
 
     def overdue(self) -> set[str]:
-        """Machines to delete even where nobody can be sure to be the leader."""
+        """Names of machines to delete even where no controller can be verified to be the leader."""
         return self.autoscaler.overdue()
 
     def overdue_step(self) -> ScalingActions:
--- a/bayford/coordination/leader/task_failures.py
+++ b/bayford/coordination/leader/task_failures.py
@@ -1,4 +1,4 @@
-"""Tasks that failed or were refused: who is to blame, and when the job or replica is tried again."""
+"""Tasks that failed or were refused: whether job or machine is at fault, and when the job is tried again."""
 
 import logging
 
@@ -13,6 +13,7 @@
 MAX_REPLICA_BACKOFF_S = 30.0
 MAX_JOB_BACKOFF_S = 60.0
 MAX_BACKOFF_DOUBLINGS = 5
+MAX_REPLICA_BACKOFF_DOUBLINGS = 10
 JOB_FAULT_BACKOFF_S = 8.0  # the first back-off of a job that fails on every machine
 REFUSED_BACKOFF_S = 2.0  # of a job that a worker refused to run
 FULL_MACHINE_BACKOFF_S = 1.0
@@ -53,7 +54,9 @@
         consecutive_exits = 0 if ran_steadily else job.consecutive_exits.get(placement.task, 0)
         job.consecutive_exits[placement.task] = consecutive_exits + 1
         if consecutive_exits:
-            wait_s = min(MAX_REPLICA_BACKOFF_S, 2.0 ** min(consecutive_exits - 1, 10))
+            wait_s = min(
+                MAX_REPLICA_BACKOFF_S, 2.0 ** min(consecutive_exits - 1, MAX_REPLICA_BACKOFF_DOUBLINGS)
+            )
             job.backing_off[placement.task] = now + wait_s
         else:
             job.requeue(placement.task)
--- a/bayford/coordination/leader/task_reconciliation.py
+++ b/bayford/coordination/leader/task_reconciliation.py
@@ -49,8 +49,8 @@
     def _ran_before(self, placement: Placement) -> float:
         """For how many seconds a task that is first seen running has run.
 
-        For one that an earlier leader placed nobody knows; half of what it is expected to take. Counted from
-        the failover it would seem to have hardly begun, and be cheap to stop.
+        For one that an earlier leader placed that is unknown; half of what it is expected to take is assumed.
+        Counted from the failover it would seem to have hardly begun, and seem cheap to preempt.
         """
         if placement.placed_here or placement.job.is_service:
             return 0.0
--- a/bayford/coordination/leader/worker_commands.py
+++ b/bayford/coordination/leader/worker_commands.py
@@ -1,4 +1,4 @@
-"""What workers are told by the leader: commands in the answers to heartbeats, and direct stops."""
+"""What the leader commands workers to do: in the answers to heartbeats, and by direct stops."""
 
 from typing import NamedTuple
 
