--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -103,8 +103,7 @@
         self._serve_workers(command)
         self._lead(cloud)
         self._serve_users(notify or {})
-        scheduler.connect(self.watch_cache, self.heartbeats)
-        scheduler.state.events.subscribe(self.stop_commands)
+        scheduler.connect(self.watch_cache, self.heartbeats, self.stop_commands)
         if self.admission is not None:
             scheduler.state.events.subscribe(self.admission)
 
