--- /dev/null
+++ b/tests/cluster_helpers.py
@@ -0,0 +1,134 @@
+"""Set-up and steps that tests of the simulated cluster share."""
+
+from typing import Any
+
+from world import Worker, World
+
+from bayford.coordination.controller import Controller
+
+
+def idle_cluster(machines: int = 2, nodes: int = 1, **cluster_options: Any) -> World:
+    """A cluster with some machines that send heartbeats, a leader and no jobs."""
+    cluster = World(nodes, **cluster_options)
+    for _ in range(machines):
+        cluster.machine()
+    for _ in range(3):
+        cluster.step()
+    assert cluster.leader() is not None
+    return cluster
+
+
+def running_tasks(cluster: World) -> list[str]:
+    """The tasks that run, sorted; a task that runs twice is there twice."""
+    return sorted(task_id for worker in cluster.workers.values() for task_id in worker.running())
+
+
+def leader_with_uncommitted_placements(cluster: World, leader: str = "n0", **fields: Any) -> Controller:
+    """The leader, which has placed the tasks of job 1 in memory and has not written the placements yet."""
+    cluster.submit(leader, cluster.job(1, **fields))
+    node = cluster.nodes[leader]
+    node.watch_cache.pull(0.0)
+    node.scheduler.round()
+    return node
+
+
+def wait(cluster: World, seconds: float, fleet: bool = True, wander: bool = True) -> None:
+    """Advance the simulated clock in steps of 0.5 s: controllers and workers act, and the rules are checked.
+
+    `fleet`: whether the leader's cloud operations run as well. `wander`: whether workers send heartbeats,
+    each to the controller that it finds by itself.
+    """
+    for _ in range(int(seconds * 2)):
+        cluster.pass_time(0.5)
+        cluster.state.expire()
+        for name in list(cluster.nodes):
+            cluster.step_node(name)
+        for worker in list(cluster.workers.values()):
+            if wander:
+                cluster.wander(worker)
+        for name in list(cluster.nodes):
+            cluster.step_node(name)
+            if fleet:
+                cluster.fleet(name)
+        cluster.check()
+
+
+def leader_and_other(cluster: World) -> tuple[str, Controller, str]:
+    """The leader's name, the leader, and the name of another controller."""
+    name = cluster.leader()
+    assert name is not None
+    return name, cluster.nodes[name], next(n for n in cluster.nodes if n != name)
+
+
+def cluster_running_a_job(parts: int = 4, machines: int = 2, nodes: int = 3, **cluster_options: Any) -> World:
+    """A cluster in which all tasks of job 1 run, with long to go; workers send heartbeats to the leader."""
+    cluster = idle_cluster(machines=machines, nodes=nodes, **cluster_options)
+    cluster.submit("n0", cluster.job(1, parts=parts, guess_s=500.0))
+    wait(cluster, 4.0, fleet=False)
+    assert len(running_tasks(cluster)) == parts
+    return cluster
+
+
+def two_zone_cluster() -> World:
+    """Three controllers, and two machines in each of two zones."""
+    cluster = World(3)
+    for zone in ("north", "south", "north", "south"):
+        cluster.machine(zone=zone)
+    wait(cluster, 2.0, fleet=False)
+    return cluster
+
+
+def worker_with_running_tasks(cluster: World) -> Worker:
+    """The first worker on which a task runs."""
+    return next(worker for worker in cluster.workers.values() if worker.running())
+
+
+def clear_faults(cluster: World) -> None:
+    """End all faults and restart the controllers that are down."""
+    store = cluster.state
+    store.down = False
+    for affected in (
+        store.refuses,
+        store.blind,
+        store.lost,
+        store.lagging,
+        store.unanswered,
+        cluster.cut,
+        cluster.mesh_cut,
+        cluster.frozen,
+    ):
+        affected.clear()
+    cluster.slow_s = 0.0
+    for worker in cluster.workers.values():
+        worker.deaf = worker.mute = worker.hung = False
+    for name in cluster.names:
+        if name not in cluster.nodes:
+            cluster.boot(name)
+
+
+def recover_and_check(cluster: World, seconds: float = 150.0) -> None:
+    """End all faults, then check that no job is lost or waits though it fits, and that accepted jobs end."""
+    clear_faults(cluster)
+    stuck_since: dict[str, float] = {}
+    for second in range(int(seconds)):
+        wait(cluster, 1.0)
+        if second == 75:
+            for name in cluster.nodes:
+                for job_id in sorted(cluster.accepted):
+                    assert cluster.query(name, job_id) is not None, f"forgotten: {job_id} on {name}"
+        stuck_jobs = cluster.stuck()
+        stuck_since = {job_id: stuck_since.get(job_id, cluster.clock.now) for job_id in stuck_jobs}
+        for job_id, stuck_at in stuck_since.items():
+            assert cluster.clock.now - stuck_at < 90.0, f"{job_id} waits for 90 s though it fits"
+        for task_id in running_tasks(cluster):
+            if cluster.rng.random() < 0.2:
+                cluster.finish(task_id)
+    for name in cluster.nodes:
+        for job_id in sorted(cluster.accepted):
+            assert cluster.query(name, job_id) in ("done", "aborted"), f"{job_id} never ended"
+    assert not running_tasks(cluster)
+
+
+def kill_controller(cluster: World, name: str) -> None:
+    """End the process of a controller."""
+    del cluster.nodes[name]
--- /dev/null
+++ b/tests/test_cancellation_under_faults.py
@@ -0,0 +1,454 @@
+"""Cancellations, confirmed to users, during other faults: none of their tasks runs past the bound.
+
+Each test brings its combination of faults about and asserts that it did; the simulated cluster checks the
+rules of the protocol at every start, at every answer to a user and at every step.
+"""
+
+import threading
+
+import pytest
+from cluster_helpers import (
+    cluster_running_a_job,
+    idle_cluster,
+    kill_controller,
+    leader_and_other,
+    leader_with_uncommitted_placements,
+    recover_and_check,
+    running_tasks,
+    wait,
+    worker_with_running_tasks,
+)
+from world import Worker, World
+
+from bayford.protocol import mesh
+from bayford.transport.http_handlers import PeerHandler
+from bayford.transport.http_server import Request
+
+
+@pytest.mark.parametrize("notified", [True, False])
+@pytest.mark.parametrize("refused_s", [0.5, 1.5, 2.4])
+def test_cancelled_tasks_stop_in_time_when_first_the_leader_then_everyone_loses_the_store(
+    refused_s, notified
+):
+    """Notified over the mesh, the leader stops them at once; otherwise the bound on the age of reads does."""
+    cluster = cluster_running_a_job()
+    name, leader, other = leader_and_other(cluster)
+    if not notified:
+        cluster.mesh_cut.add(name)
+    cluster.state.refuses.add(name)
+    wait(cluster, refused_s, fleet=False)
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    cluster.nodes[other].notices.send()
+    cluster.state.down = True
+    assert not leader.watch_cache.is_cancelled("req-000001"), "the leader has not read it"
+    wait(cluster, 2.0)
+    phases = cluster.clock.now
+    if notified:
+        wait(cluster, 3.0)
+        assert not running_tasks(cluster), "stopped because the other controller notified the leader"
+    wait(cluster, cluster.cancel_s + 5.0)  # the simulated cluster checks the bound
+    assert cluster.clock.now - phases > cluster.cancel_s and not running_tasks(cluster)
+    assert cluster.leader() == name, "no failover: the store was down for all"
+    cluster.state.refuses.clear()
+    cluster.state.down = False
+    cluster.mesh_cut.clear()
+    wait(cluster, 10.0)
+    assert {cluster.query(n, "req-000001") for n in cluster.nodes} == {"aborted"}
+
+
+def test_writes_of_a_leader_whose_reads_fail_do_not_count_as_knowledge_of_cancellations():
+    """Its commits and comparisons of the leadership record succeeded, while it read nothing that other
+    controllers had confirmed."""
+    cluster = cluster_running_a_job(machines=4)
+    name, leader, other = leader_and_other(cluster)
+    cluster.submit(name, cluster.job(2, crew="blue", parts=12, guess_s=500.0))
+    wait(cluster, 3.0, fleet=False)
+    cluster.mesh_cut.add(name)
+    cluster.state.blind.add(name)
+    wait(cluster, 1.0, fleet=False)
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    before = cluster.state.epoch
+    for task in range(12):  # it writes all the time
+        cluster.finish(f"req-000002/{task}")
+        wait(cluster, 1.5, fleet=False)
+    assert leader.scheduler.leader and cluster.state.epoch - before > 10
+    assert not leader.watch_cache.is_cancelled("req-000001")
+    cluster.state.down = True
+    wait(cluster, cluster.cancel_s, fleet=False)
+    assert not [p for p in running_tasks(cluster) if p.startswith("req-000001/")]
+
+
+@pytest.mark.parametrize("mixed", [False, True])
+def test_a_hung_machine_with_cancelled_tasks_is_deleted_in_time_during_an_outage(mixed):
+    """No controller is a verified leader, and a hung machine does not act on the end of its lease. It alone
+    is deleted; if it runs other work too, only as late as the bound allows."""
+    cluster = cluster_running_a_job(parts=2 if mixed else 8, cancel_s=30.0)
+    name, leader, other = leader_and_other(cluster)
+    assert leader.scheduler.staleness_limit() < 0.5 * cluster.cancel_s, (
+        "not verified any more when it has to act"
+    )
+    if mixed:
+        cluster.submit(name, cluster.job(2, crew="blue", parts=6, guess_s=500.0))
+        wait(cluster, 3.0, fleet=False)
+    hung_worker = worker_with_running_tasks(cluster)
+    assert {p.split("/")[0] for p in hung_worker.running()} >= {"req-000001"}
+    hung_worker.hung = True
+    cluster.state.refuses.add(name)
+    wait(cluster, 1.0)
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    cluster.state.down = True
+    wait(cluster, 0.6 * cluster.cancel_s)
+    assert cluster.deleted == ([] if mixed else [hung_worker.name])
+    wait(cluster, 0.4 * cluster.cancel_s + 2.0)
+    assert cluster.deleted == [hung_worker.name]
+
+
+def test_an_outage_without_cancellations_deletes_no_hung_machine():
+    cluster = cluster_running_a_job(parts=8)
+    cluster.state.down = True
+    wait(cluster, 15.0)
+    worker_with_running_tasks(
+        cluster
+    ).hung = True  # its heartbeat timeout comes after the leader has lost verification
+    wait(cluster, cluster.cancel_s)
+    assert cluster.deleted == []
+
+
+def test_a_leader_that_alone_is_refused_by_the_store_deletes_nothing_unverified():
+    """The store serves another controller, which decides instead: it is the new leader or will be soon."""
+    cluster = cluster_running_a_job(parts=8)
+    name, leader, other = leader_and_other(cluster)
+    cluster.state.refuses.add(name)
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    cluster.nodes[other].notices.send()
+    assert leader.scheduler.state.jobs["req-000001"].cancelled
+    assert not leader.no_competing_leader()
+    cluster.state.down = True
+    wait(cluster, 8.0, fleet=False)  # by then no other controller reports that the store serves it
+    assert leader.no_competing_leader()
+    leader.peers.served_at[other] = cluster.clock.now
+    assert not leader.no_competing_leader(), "the store serves another controller"
+    leader.peers.served_at.clear()
+    leader.membership.observe_token(leader.membership.record.fencing_token + 1)
+    assert not leader.no_competing_leader(), "a higher fencing token was seen"
+
+
+def test_a_relay_stops_cancelled_tasks_on_a_stale_watch_cache():
+    cluster = cluster_running_a_job(machines=1)
+    name, _, other = leader_and_other(cluster)
+    worker = worker_with_running_tasks(cluster)
+    cluster.cut.add((worker.name, name))
+    wait(cluster, 6.0, fleet=False)
+    relay = worker.at
+    assert relay != name and running_tasks(cluster)
+    confirming = next(n for n in cluster.nodes if n not in (name, relay))
+    cluster.state.refuses.add(relay)
+    assert cluster.cancel(confirming, "req-000001") == "aborted"
+    cluster.state.down = True
+    cluster.nodes[relay].on_cancellations({"req-000001": cluster.clock.wall()})
+    cluster.heartbeat(worker, relay)
+    assert not running_tasks(cluster)
+
+
+def test_an_unverified_leader_sends_direct_stops_of_cancelled_jobs():
+    cluster = cluster_running_a_job(parts=2, machines=1)
+    name, leader, other = leader_and_other(cluster)
+    worker = worker_with_running_tasks(cluster)
+    worker.mute = True
+    cluster.state.refuses.add(name)
+    wait(cluster, 0.5, fleet=False)
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    cluster.state.down = True
+    cluster.pass_time(leader.scheduler.staleness_limit() + 1.0)
+    assert not leader.is_verified_leader()
+    assert cluster.nodes[other].notices.send()
+    cluster.step_node(name)
+    assert not running_tasks(cluster), "stopped by a direct command"
+
+
+def test_a_cancellation_notice_is_repeated_until_the_leader_acknowledges_it_or_it_is_too_late():
+    cluster = cluster_running_a_job()
+    name, leader, other = leader_and_other(cluster)
+    cluster.mesh_cut.add(name)
+    cluster.state.refuses.add(name)
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    assert not cluster.nodes[other].notices.send()
+    cluster.mesh_cut.clear()
+    assert cluster.nodes[other].notices.send() and leader.scheduler.state.jobs["req-000001"].cancelled
+    cluster.mesh_cut.add(name)
+    cluster.submit(other, cluster.job(2))
+    assert cluster.cancel(other, "req-000002") == "aborted"
+    assert not cluster.nodes[other].notices.send()
+    cluster.pass_time(cluster.cancel_s)
+    assert cluster.nodes[other].notices.send(), "it is too late for the notice to be of use"
+
+
+def test_cancellation_notices_over_the_mesh_are_validated():
+    cluster = idle_cluster(nodes=2)
+    name, leader, other = leader_and_other(cluster)
+    cluster.submit(name, cluster.job(1))
+    wait(cluster, 2.0, fleet=False)
+    handler = PeerHandler(leader)
+    for body in (b"{", b"[]", b'{"req-000001":"now"}', b'{"req-000001":null}'):
+        assert handler.handle(Request("POST", mesh.CANCELLED_PATH, body, 0.0)).status == 400
+    assert handler.handle(Request("GET", mesh.CANCELLED_PATH, b"", 0.0)).status == 404
+    assert not leader.scheduler.state.jobs["req-000001"].cancelled
+    body = mesh.encode_cancelled({"req-000001": cluster.clock.wall(), "req-000099": cluster.clock.wall()})
+    assert handler.handle(Request("POST", mesh.CANCELLED_PATH, body, 0.0)).status == 200
+    assert leader.scheduler.state.jobs["req-000001"].cancelled
+
+
+def test_a_job_cancelled_before_the_leader_has_read_it_never_starts():
+    cluster = idle_cluster(nodes=3)
+    name, leader, other = leader_and_other(cluster)
+    cluster.state.blind.add(name)
+    assert cluster.submit(other, cluster.job(1)) == 201
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    assert cluster.nodes[other].notices.send()
+    cluster.state.blind.clear()
+    wait(cluster, 5.0, fleet=False)
+    assert not running_tasks(cluster) and "req-000001" not in leader.scheduler.state.jobs
+
+
+def test_a_start_command_follows_a_read_that_shows_the_cancellations_of_other_controllers():
+    """The check before a start was a comparison of the leadership record alone, which a cancellation
+    confirmed by another controller in between does not change: the task was started all the same."""
+    cluster = idle_cluster(machines=1, nodes=3)
+    name, leader, other = leader_and_other(cluster)
+    leader_with_uncommitted_placements(cluster, name)
+    leader.commit_once()
+    assert leader.scheduler.state.jobs["req-000001"].open
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    cluster.heartbeat(next(iter(cluster.workers.values())), name)
+    assert not running_tasks(cluster)
+
+
+def test_cancellations_with_more_work_than_capacity_over_slow_links():
+    cluster = idle_cluster(machines=3, nodes=3)
+    cluster.slow_s = 1.5
+    cluster.capacity = 0
+    for number in range(1, 13):
+        cluster.submit(
+            "n1", cluster.job(number, parts=4, crew="blue", rank="urgent" if number % 3 == 0 else "normal")
+        )
+    for number in range(1, 10):
+        wait(cluster, 2.0)
+        if number % 2:
+            cluster.cancel(f"n{number % 3}", f"req-{number:06d}")
+        for task_id in running_tasks(cluster)[:2]:
+            cluster.finish(task_id)
+    waiting = sum(len(job.waiting) for job in leader_and_other(cluster)[1].scheduler.state.jobs.values())
+    assert waiting > 4 and len(running_tasks(cluster)) >= 8, "more work than capacity"
+    cluster.submit("n1", cluster.job(20, parts=1, rank="critical"))
+    for _ in range(40):
+        wait(cluster, 0.5)
+        if any(worker.coming and b"req-000020" in worker.coming[1][1] for worker in cluster.workers.values()):
+            break
+    assert cluster.cancel("n2", "req-000020") == "aborted"
+    wait(cluster, 2.0)
+    assert cluster.late_starts == ["req-000020/0"], "the start was on its way at the cancellation"
+    recover_and_check(cluster)
+
+
+def test_workers_that_send_no_heartbeats_get_direct_stops_of_cancelled_tasks_and_are_replaced():
+    cluster = cluster_running_a_job(parts=8)
+    mute_worker = worker_with_running_tasks(cluster)
+    mute_worker.mute = True
+    cluster.cancel("n1", "req-000001")
+    wait(cluster, 1.0)
+    assert not mute_worker.running(), "a direct command stopped its tasks"
+    assert cluster.submit("n0", cluster.job(2, parts=8, guess_s=500.0)) == 201
+    wait(cluster, 30.0)
+    assert mute_worker.name in cluster.deleted
+    assert len(running_tasks(cluster)) == 8
+    recover_and_check(cluster)
+
+
+def test_queries_and_cancellations_while_the_store_refuses_the_leader_and_then_everyone():
+    cluster = cluster_running_a_job(parts=4, machines=3)
+    name, leader, other = leader_and_other(cluster)
+    cluster.submit(other, cluster.job(2, parts=4, crew="blue"))
+    wait(cluster, 2.0, fleet=False)
+    cluster.finish("req-000002/0")
+    cluster.state.refuses.add(name)
+    assert cluster.nodes[name].query("req-000001")[0] == 503
+    assert cluster.nodes[name].cancel("req-000001")[0] == 503, "not certain, so never 200"
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    cluster.state.down = True
+    for _ in range(int(cluster.cancel_s + 8.0)):
+        wait(cluster, 1.0)
+        for node in cluster.nodes:
+            assert cluster.query(node, "req-000002") is None
+            assert cluster.query(node, "req-000001") in (None, "aborted")
+    assert not running_tasks(cluster), (
+        "no read is recent enough: all leases have expired, and cancelled tasks are stopped"
+    )
+    recover_and_check(cluster)
+
+
+def test_four_one_task_jobs_a_second_for_minutes_with_a_quarter_cancelled():
+    cluster = idle_cluster(machines=4, nodes=3, writes=20.0)
+    submitted, cancelled = 0, 0
+    for _ in range(240):
+        for _ in range(2):
+            submitted += 1
+            number = submitted
+            assert (
+                cluster.submit(f"n{number % 3}", cluster.job(number, parts=1, crew="blue", guess_s=1.0))
+                == 201
+            )
+            if number % 4 == 0:
+                cancelled += cluster.cancel(f"n{(number + 1) % 3}", f"req-{number - 3:06d}") == "aborted"
+        wait(cluster, 0.5)
+        for task_id in running_tasks(cluster):
+            if cluster.rng.random() < 0.4:
+                cluster.finish(task_id)
+    assert submitted == 480 and cancelled > 60
+    recover_and_check(cluster, 100.0)
+    assert sum(job_id not in cluster.cancelled for job_id in cluster.accepted) == submitted - cancelled
+    assert sum(key.startswith("b/log/") for key in cluster.state.rows) < 60, (
+        "the log does not grow with the jobs"
+    )
+
+
+@pytest.mark.parametrize("request_kind", ["cancel", "question", "repeat"])
+@pytest.mark.parametrize("moment", ["ended", "reported", "writing", "written"])
+def test_a_cancellation_query_or_idempotent_request_races_with_the_end_of_the_last_task(request_kind, moment):
+    cluster = cluster_running_a_job(parts=1, machines=1)
+    name, leader, other = leader_and_other(cluster)
+    cluster.finish("req-000001/0")
+    batch = None
+    if moment != "ended":
+        cluster.heartbeat(worker_with_tasks(cluster), name)
+    if moment in ("writing", "written"):
+        batch = leader.scheduler.take_batch(12)
+        assert batch is not None and batch.over == ["req-000001"]
+    if moment == "written":
+        leader._write(batch)
+    phases = set(cluster.look(1, parts=1, guess_s=500.0))
+    if request_kind == "cancel":
+        assert cluster.cancel(other, "req-000001") == ("done" if moment == "written" else "aborted")
+    if moment == "writing":
+        leader._write(batch)
+    assert phases == ({"done"} if moment == "written" else {"running"})
+    wait(cluster, 3.0, fleet=False)
+    expected = "aborted" if request_kind == "cancel" and moment != "written" else "done"
+    assert set(cluster.look(1, parts=1, guess_s=500.0)) == {expected}
+    recover_and_check(cluster)
+
+
+def worker_with_tasks(cluster: World) -> Worker:
+    """The first worker that has a task, running or ended."""
+    return next(worker for worker in cluster.workers.values() if worker.tasks)
+
+
+def test_jobs_are_cancelled_through_the_new_leader_while_the_old_one_still_serves():
+    cluster = cluster_running_a_job(parts=8, machines=2)
+    old, old_leader, _ = leader_and_other(cluster)
+    cluster.state.lost.add(old)
+    cluster.mesh_cut.add(old)
+    wait(cluster, 3.5, fleet=False)  # its membership ends
+    for _ in range(12):
+        for name in list(cluster.nodes):
+            if name != old:
+                cluster.step_node(name)
+        cluster.pass_time(0.2)
+    new = next(n for n in cluster.nodes if n != old and cluster.nodes[n].scheduler.leader)
+    assert old_leader.scheduler.leader, "the old leader can't know that it was replaced"
+    assert cluster.cancel(new, "req-000001") == "aborted"
+    assert old_leader.query("req-000001")[0] == 503
+    wait(cluster, cluster.cancel_s)
+    assert not running_tasks(cluster)
+    recover_and_check(cluster)
+
+
+def test_jobs_are_cancelled_before_during_and_after_the_recovery_of_a_new_leader(monkeypatch):
+    """Before the new leader's last read, between that read and its recovery, and right after."""
+    cluster = cluster_running_a_job(parts=3)
+    old, _, other = leader_and_other(cluster)
+    cluster.submit(other, cluster.job(2, parts=3, crew="blue", guess_s=500.0))
+    cluster.submit(other, cluster.job(3, parts=2, crew="blue", guess_s=500.0))
+    wait(cluster, 2.0, fleet=False)
+    assert len(running_tasks(cluster)) == 8
+    kill_controller(cluster, old)
+    cluster.pass_time(4.0)
+    third = next(n for n in cluster.nodes if n != other)
+    assert cluster.cancel(third, "req-000001") == "aborted"
+    node = cluster.nodes[other]
+    recover = node.scheduler.recover
+    answers = []
+
+    def recover_and_cancel(recovered):
+        recover(recovered)
+        answers.append(cluster.cancel(third, "req-000002"))
+
+    monkeypatch.setattr(node.scheduler, "recover", recover_and_cancel)
+    for _ in range(10):
+        cluster.step_node(other)
+        cluster.pass_time(0.2)
+    assert answers == ["aborted"] and node.scheduler.leader
+    assert cluster.cancel(third, "req-000003") == "aborted"
+    wait(cluster, 6.0, fleet=False)
+    assert not running_tasks(cluster)
+    recover_and_check(cluster)
+
+
+@pytest.mark.parametrize("fault", ["cut", "hung"])
+def test_cancellations_on_unreachable_machines_with_every_team_at_its_quota_and_a_failover(
+    fault,
+):
+    cluster = idle_cluster(machines=6, nodes=3)
+    cluster.submit("n0", cluster.job(1, parts=8, guess_s=500.0))
+    cluster.submit("n0", cluster.job(2, parts=16, crew="blue", guess_s=500.0))
+    cluster.submit("n0", cluster.job(3, parts=8, guess_s=500.0))
+    cluster.submit("n0", cluster.job(4, parts=16, crew="blue", guess_s=500.0))
+    wait(cluster, 5.0, fleet=False)
+    assert len(running_tasks(cluster)) == 24, "both teams are at their limits, and more tasks wait"
+    stranded = [worker for worker in cluster.workers.values() if worker.running()][:2]
+    for worker in stranded:
+        if fault == "cut":
+            cluster.cut |= {(worker.name, node) for node in cluster.names}
+        else:
+            worker.hung = True
+    cluster.cancel("n1", "req-000001")
+    cluster.cancel("n2", "req-000002")
+    kill_controller(cluster, leader_and_other(cluster)[0])
+    left = len([p for worker in stranded for p in worker.running()])
+    assert left > 0
+    wait(cluster, 14.0)  # quotas are checked
+    wait(cluster, cluster.cancel_s)
+    assert not [p for p in running_tasks(cluster) if p[:10] in ("req-000001", "req-000002")]
+    assert len(running_tasks(cluster)) == 24, "the waiting tasks run in their place"
+    recover_and_check(cluster)
+
+
+def test_a_read_does_not_count_before_the_scheduler_has_reconciled_what_it_found():
+    """One thread has read a cancellation and is about to reconcile it with the scheduler; the read of a
+    second thread finds it in the cache already, and must not count before the first thread has finished."""
+    cluster = idle_cluster(machines=1, nodes=2)
+    name, leader, other = leader_and_other(cluster)
+    cluster.submit(name, cluster.job(1))
+    leader.watch_cache.pull(0.0)
+    assert cluster.cancel(other, "req-000001") == "aborted"
+    reconciling, go_on = threading.Event(), threading.Event()
+    reconcile_job = leader.scheduler.reconcile_job
+
+    def reconcile_slowly(record, version):
+        reconciling.set()
+        assert go_on.wait(30.0)
+        reconcile_job(record, version)
+
+    leader.scheduler.reconcile_job = reconcile_slowly
+    first = threading.Thread(target=leader.watch_cache.pull, args=(0.0,))
+    first.start()
+    assert reconciling.wait(30.0)
+    before = leader.watch_cache.as_of
+    cluster.clock.now += 1.0
+    second = threading.Thread(target=leader.watch_cache.pull, args=(0.0,))
+    second.start()
+    second.join(0.3)  # with the fault it has finished by then; without it never has
+    assert leader.watch_cache.as_of == before and not leader.scheduler.state.jobs["req-000001"].cancelled
+    go_on.set()
+    for thread in (first, second):
+        thread.join()
+    assert leader.watch_cache.as_of > before and leader.scheduler.state.jobs["req-000001"].cancelled
--- /dev/null
+++ b/tests/test_random_concurrent_faults.py
@@ -0,0 +1,150 @@
+"""Two or three faults at the same time, drawn by a seed; the simulated cluster checks the rules."""
+
+import pytest
+from cluster_helpers import (
+    clear_faults,
+    kill_controller,
+    recover_and_check,
+    running_tasks,
+    wait,
+)
+from world import World
+
+from bayford.scheduling.policy import Policy
+
+# Drawn from by position: the order is part of what a seed stands for.
+STORE_FAULTS = ("refused", "outage", "gap", "unanswered", "lagging", "blind")
+CONTROLLER_FAULTS = ("isolated", "peers", "ends", "all end", "frozen")
+WORKER_FAULTS = ("cut", "copies", "slow", "deaf", "mute", "hung")
+FAULTS = STORE_FAULTS + CONTROLLER_FAULTS + WORKER_FAULTS
+
+
+def begin_fault(cluster: World, fault: str) -> None:
+    """Begin one fault, on machines and controllers drawn by the cluster's seed."""
+    rng = cluster.rng
+    node = rng.choice(sorted(cluster.nodes))
+    leader = cluster.leader() or node
+    affected = rng.sample(sorted(cluster.workers), min(2, len(cluster.workers)))
+    if fault in STORE_FAULTS:
+        begin_store_fault(cluster, fault, leader, node)
+    elif fault in CONTROLLER_FAULTS:
+        begin_controller_fault(cluster, fault, leader, node)
+    else:
+        begin_worker_fault(cluster, fault, leader, affected)
+
+
+def begin_store_fault(cluster: World, fault: str, leader: str, node: str) -> None:
+    """The key-value store fails for the leader, for `node`, or for all."""
+    rng = cluster.rng
+    if fault == "refused":
+        cluster.state.refuses.add(leader)
+    elif fault == "outage":
+        cluster.state.down = True
+    elif fault == "gap":
+        names = sorted(cluster.nodes)
+        cluster.state.refuses.add(leader)
+        wait(cluster, rng.choice([0.5, 1.5, 2.5]))
+        for job_id in sorted(cluster.accepted)[-3:]:
+            cluster.cancel(rng.choice([n for n in names if n != leader] or names), job_id)
+        cluster.state.down = True
+    elif fault == "unanswered":
+        cluster.state.unanswered.add(rng.choice([leader, node]))
+    elif fault == "lagging":
+        cluster.state.lagging[rng.choice([leader, node])] = rng.uniform(2.0, 12.0)
+    else:
+        cluster.state.blind.add(leader)
+
+
+def begin_controller_fault(cluster: World, fault: str, leader: str, node: str) -> None:
+    """A controller is isolated, ends or stands still."""
+    rng = cluster.rng
+    if fault == "isolated":
+        cluster.state.lost.add(leader)
+        cluster.mesh_cut.add(leader)
+    elif fault == "peers":
+        cluster.mesh_cut.add(node)
+    elif fault == "ends":
+        kill_controller(cluster, leader)
+        if rng.random() < 0.5 or not cluster.nodes:
+            cluster.boot(leader)  # restarted at once
+    elif fault == "all end":
+        for name in sorted(cluster.nodes):
+            kill_controller(cluster, name)
+        cluster.pass_time(rng.choice([0.0, 1.0, 16.0]))
+        cluster.boot(node)
+    else:
+        cluster.frozen.add(leader)
+
+
+def begin_worker_fault(cluster: World, fault: str, leader: str, affected: list[str]) -> None:
+    """Heartbeats are lost, late or repeated, or the affected workers fail."""
+    rng = cluster.rng
+    if fault == "cut":
+        cluster.cut |= {
+            (name, other)
+            for name in affected
+            for other in (cluster.names if rng.random() < 0.5 else [leader])
+        }
+    elif fault == "copies":
+        for heartbeat in rng.sample(cluster.sent, min(20, len(cluster.sent))):
+            cluster.replay(heartbeat, rng.choice(sorted(cluster.nodes)))
+    elif fault == "slow":
+        cluster.slow_s = rng.uniform(0.5, 3.5)
+    else:
+        for name in affected:
+            setattr(cluster.workers[name], fault, True)
+
+
+EAGER_MIGRATION = Policy(  # migrates whatever it may, as soon as it may
+    hold_s=0.0,
+    hold_idle_s=0.0,
+    spread=True,
+    spread_rest_s=1.0,
+    spread_every_s=0.5,
+    spread_threshold=1.0,
+    spread_restarts_default=2,
+    spread_lossy=("sweep",),
+    extra_classes=("sweep",),
+    balance_share=1.0,
+)
+
+
+@pytest.mark.parametrize(
+    ("seed", "policy"), [(s, None) for s in range(24)] + [(s, EAGER_MIGRATION) for s in range(24, 24 + 12)]
+)
+def test_random_concurrent_faults(seed, policy):
+    cluster = World(3, seed=seed, policy=policy)
+    for n in range(5):
+        cluster.machine(zone="north" if n % 2 else "south", spot=n % 3 > 0)
+    wait(cluster, 2.0)
+    rng = cluster.rng
+    number = 0
+    fields: dict[int, dict] = {}
+    for _ in range(4):
+        faults = rng.sample(FAULTS, rng.choice([2, 3]))
+        for step in range(24):
+            if step in (4, 8, 12) and faults:
+                begin_fault(cluster, faults.pop())
+            for _ in range(rng.choice([0, 0, 1, 2])):
+                number += 1
+                fields[number] = {
+                    "parts": rng.choice([1, 1, 2, 3, 8]),
+                    "crew": rng.choice(["red", "blue"]),
+                    "rank": rng.choice(["idle", "normal", "urgent"]),
+                    "guess_s": rng.choice([5.0, 500.0]),
+                    "yard": rng.choice([None, None, "south"]),
+                    "together": rng.random() < 0.1,
+                }
+                cluster.submit(rng.choice(sorted(cluster.nodes)), cluster.job(number, **fields[number]))
+            known = sorted(cluster.accepted)
+            if known and rng.random() < 0.4:
+                cluster.cancel(rng.choice(sorted(cluster.nodes)), rng.choice(known))
+            if known and rng.random() < 0.4:
+                asked = int(rng.choice(known)[4:])
+                cluster.look(asked, **fields[asked])
+            for task_id in running_tasks(cluster):
+                if rng.random() < 0.05:
+                    cluster.finish(task_id)
+            wait(cluster, rng.choice([0.5, 1.0, 2.0]))
+        clear_faults(cluster)
+    recover_and_check(cluster, 200.0)
