--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from world import Worker, World
+from world import SETTINGS, Worker, World
 
 from bayford.coordination.controller import Controller
 
@@ -132,3 +132,18 @@
 def kill_controller(cluster: World, name: str) -> None:
     """End the process of a controller."""
     del cluster.nodes[name]
+
+
+def settings_text(next_limits: str = "") -> str:
+    """A valid settings file of controller n9. `next_limits`: lines of its `[facts.state.next]`, as TOML."""
+    return SETTINGS.format(
+        name="n9",
+        zone="north",
+        writes=15.0,
+        value_kb=8.0,
+        cancel_s=42.0,
+        coming=f"[facts.state.next]\n{next_limits}" if next_limits else "",
+    )
+
+
+VALID_SETTINGS = settings_text()
--- /dev/null
+++ b/tests/test_zone_recovery.py
@@ -0,0 +1,354 @@
+"""Loss and return of a zone in the simulated cluster."""
+
+import pytest
+from cluster_helpers import running_tasks, wait
+from zone_helpers import (
+    RECOVERY_POLICY,
+    cut_zone_off,
+    fill_with_one_job,
+    reconnect_zones,
+    recovery_cluster,
+    running_in_zone,
+    stored_zone_record,
+    zone_state,
+)
+
+from bayford.recovery import zone_record
+from bayford.recovery.zone_health import (
+    ZoneState,
+)
+from bayford.scheduling import scaling
+
+
+def test_a_lost_zone_gets_no_work_and_every_task_has_one_outcome():
+    cluster = recovery_cluster()
+    lost_tasks = fill_with_one_job(cluster)
+    cut_zone_off(cluster)
+    wait(cluster, 8.0)
+    assert zone_state(cluster) == "suspect"
+    cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
+    wait(cluster, 14.0)
+    assert zone_state(cluster) == "lost"
+    assert stored_zone_record(cluster).losses[-1].totals()["open"] == len(lost_tasks)
+    assert cluster.nodes[cluster.leader()].scheduler.state.jobs["req-000002"].waiting == [0], (
+        "nothing is placed there"
+    )
+    reconnect_zones(cluster)
+    wait(cluster, 50.0)
+    assert zone_state(cluster) == "up"
+    loss = stored_zone_record(cluster).losses[-1]
+    assert loss.returned > loss.lost > loss.suspected
+    assert loss.totals() == {"open": 0, "finished": 0, "cancelled": 0, "over": 0, "again": len(lost_tasks)}
+    assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
+
+
+def test_a_suspect_zone_gets_no_work_and_a_returning_one_only_on_verified_machines():
+    cluster = recovery_cluster()
+    cut_zone_off(cluster)
+    wait(cluster, 7.0)
+    assert zone_state(cluster) == "suspect"
+    cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south"))
+    wait(cluster, 14.0)
+    scheduler = cluster.nodes[cluster.leader()].scheduler
+    assert zone_state(cluster) == "lost"
+    assert scheduler.state.jobs["req-000002"].open == {}, (
+        "no placement on machines without a recent heartbeat, though they have capacity"
+    )
+    south = [
+        machine
+        for machine in scheduler.state.machines.values()
+        if scheduler.state.zones[machine.zone] == "south"
+    ]
+    for machine in south:
+        machine.images[77] = True
+        scheduler.state.capacity_index.holds(machine, 77)
+    reconnect_zones(cluster)
+    while zone_state(cluster) == "lost":
+        wait(cluster, 0.5)
+    assert not any(77 in machine.images for machine in south), "its image cache may be empty"
+    assert zone_state(cluster) == "returning" and not scheduler.state.verified_machines
+    scheduler.round()
+    assert scheduler.state.jobs["req-000002"].open == {}, "the partition may have delayed a single heartbeat"
+    wait(cluster, 6.0)
+    assert len(running_in_zone(cluster)) == 2
+
+
+def test_only_a_few_machines_are_launched_into_a_zone_without_heartbeats():
+    cluster = recovery_cluster()
+    scheduler = cluster.nodes[cluster.leader()].scheduler
+    scheduler.state.returning_zones = frozenset({scheduler.state.zones.find("south")})
+    deleted_machines = [
+        machine
+        for machine in scheduler.state.machines.values()
+        if machine.zone not in scheduler.state.returning_zones
+    ]
+    present = [
+        (scaling.MachinePool(machine.type, machine.zone, machine.spot), machine)
+        for machine in deleted_machines
+    ]
+    south, north = (
+        scaling.MachinePool(0, scheduler.state.zones.find(name), True) for name in ("south", "north")
+    )
+    plans = [scaling.LaunchPlan(south, 20, "backlog"), scaling.LaunchPlan(north, 20, "backlog")]
+    assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [
+        RECOVERY_POLICY.recovery_least,
+        20,
+    ]
+    scheduler.state.launching[south] = 2
+    assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [1, 20]
+    scheduler.state.verified_machines = frozenset(
+        {
+            next(
+                machine.index
+                for machine in scheduler.state.machines.values()
+                if machine not in deleted_machines
+            )
+        }
+    )
+    present += [(south, scheduler.state.machines[index]) for index in scheduler.state.verified_machines]
+    assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [20, 20]
+
+    scheduler.state.verified_machines = frozenset()
+    scheduler.state.launching.clear()
+    scheduler.deleted(
+        [machine.name for machine in scheduler.state.machines.values() if machine.zone == south.zone]
+    )
+    cluster.submit("n0", cluster.job(1, crew="open", parts=80, guess_s=900.0, yard="south"))
+    cluster.nodes[cluster.leader()].watch_cache.pull(0.0)
+    step = scheduler.scaling_step(cluster.clock.now)
+    assert [(order.zone, order.count) for order in step.launches] == [
+        ("south", RECOVERY_POLICY.recovery_least)
+    ]
+
+
+def test_a_job_cancelled_during_the_partition_does_not_run_again():
+    cluster = recovery_cluster()
+    lost_tasks = fill_with_one_job(cluster)
+    cut_zone_off(cluster)
+    wait(cluster, 22.0)
+    assert cluster.cancel("n0", "req-000001") == "aborted"
+    wait(cluster, 30.0)  # the machines' epochs have ended, the silent ones are deleted
+    reconnect_zones(cluster)
+    wait(cluster, 60.0)
+    assert running_tasks(cluster) == []
+    assert stored_zone_record(cluster).losses[-1].totals()["cancelled"] == len(lost_tasks)
+
+
+@pytest.mark.parametrize("when", ["before", "during", "after"])
+def test_a_task_that_ends_on_a_machine_that_was_declared_lost(when):
+    """Its heartbeat arrives before the task is requeued, while it waits, or after another attempt's end."""
+    cluster = recovery_cluster()
+    lost_tasks = fill_with_one_job(cluster)
+    task_id = lost_tasks[0]
+    worker = next(worker for worker in cluster.workers.values() if task_id in worker.running())
+    cut_zone_off(cluster)
+    wait(cluster, 8.0)
+    worker.finish(task_id)
+    cluster.done_tasks.add(task_id)
+    late_heartbeat = worker.heartbeat()
+    wait(cluster, {"before": 4.0, "during": 34.0, "after": 34.0}[when])
+    if when == "after":
+        reconnect_zones(cluster)
+        for _ in range(4):  # capacity for what was lost
+            cluster.machine(zone="north")
+        wait(cluster, 30.0)
+        cluster.finish(task_id)
+        wait(cluster, 4.0)
+    cluster.replay(late_heartbeat, cluster.leader())
+    wait(cluster, 4.0)
+    reconnect_zones(cluster)
+    wait(cluster, 40.0)
+    leader = cluster.nodes[cluster.leader()].scheduler
+    if when == "during":
+        assert worker.name in cluster.deleted, (
+            "its machine is deleted by then, and its heartbeat has no effect"
+        )
+    job = leader.state.jobs["req-000001"]
+    task = int(task_id.split("/")[1])
+    assert task not in job.open or task not in job.done
+    assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
+
+
+def test_late_copies_of_heartbeats_after_the_return_change_nothing():
+    cluster = recovery_cluster()
+    fill_with_one_job(cluster)
+    copies = [worker.heartbeat() for worker in cluster.workers.values()]
+    cut_zone_off(cluster)
+    wait(cluster, 22.0)
+    reconnect_zones(cluster)
+    wait(cluster, 6.0)
+    before = running_tasks(cluster), zone_state(cluster)
+    for copy in copies:
+        cluster.replay(copy, cluster.leader())
+    scheduler = cluster.nodes[cluster.leader()].scheduler
+    scheduler.round()
+    assert (running_tasks(cluster), zone_state(cluster)) == before
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
+
+
+def test_a_failover_while_a_zone_returns():
+    cluster = recovery_cluster()
+    lost_tasks = fill_with_one_job(cluster)
+    cut_zone_off(cluster)
+    wait(cluster, 22.0)
+    assert zone_state(cluster) == "lost"
+    reconnect_zones(cluster)
+    wait(cluster, 4.0)
+    first = cluster.leader()
+    del cluster.nodes[first]
+    wait(cluster, 5.0)
+    assert cluster.leader() not in (None, first)
+    assert zone_state(cluster) in ("lost", "returning"), "the new leader continues from the stored record"
+    wait(cluster, 60.0)
+    assert zone_state(cluster) == "up"
+    totals = stored_zone_record(cluster).losses[-1].totals()
+    assert totals["open"] == 0 and sum(totals.values()) == len(lost_tasks)
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
+
+
+def test_tasks_that_ended_between_two_leaders_are_counted_as_over():
+    """They were counted as cancelled, since their job was gone."""
+    cluster = recovery_cluster()
+    cluster.submit("n0", cluster.job(1, crew="open", parts=4, yard="south", guess_s=900.0))
+    cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south", guess_s=900.0))
+    wait(cluster, 5.0)
+    lost_tasks = running_in_zone(cluster)
+    assert len(lost_tasks) == 6
+    cut_zone_off(cluster)
+    wait(cluster, 22.0)
+    leader = cluster.leader()
+    scheduler = cluster.nodes[leader].scheduler
+    record_then = cluster.state.rows[zone_record.key("south")]
+    reconnect_zones(cluster)
+    wait(cluster, 24.0)  # all tasks run again; two end, and one job with them
+    for task_id in running_in_zone(cluster):
+        if task_id.startswith("req-000002"):
+            cluster.finish(task_id)
+    wait(cluster, 4.0)
+    assert cluster.query("n0", "req-000002") == "done" and scheduler.leader
+    cluster.state.rows[zone_record.key("south")] = record_then  # the last record that was written before
+    cluster.boot(leader)
+    wait(cluster, 8.0)
+    totals = stored_zone_record(cluster).losses[-1].totals()
+    assert totals["over"] == 2 and totals["cancelled"] == 0 and sum(totals.values()) == 6
+
+
+def test_a_leader_in_the_lost_zone_is_replaced_and_the_next_one_records_the_loss():
+    cluster = recovery_cluster()
+    fill_with_one_job(cluster)
+    leader = cluster.leader()
+    zone = cluster.nodes[leader].settings.site
+    cut_zone_off(cluster, zone)
+    for name, node in cluster.nodes.items():
+        if node.settings.site == zone:
+            cluster.state.lost.add(name)
+            cluster.mesh_cut.add(name)
+            cluster.cut |= {(worker, name) for worker in cluster.workers}
+    wait(cluster, 50.0)
+    others = [name for name, node in cluster.nodes.items() if node.settings.site != zone]
+    for name in others:
+        if cluster.nodes[name].scheduler.leader:
+            monitor = cluster.nodes[name].scheduler.zone_monitor
+            lost = cluster.nodes[name].scheduler.state.zones.find(zone)
+            assert monitor.statuses[lost].state is not ZoneState.UP
+            assert sum(monitor.losses[lost][0].record().totals().values()) == 16
+            break
+    else:
+        pytest.fail("no failover")
+    cluster.state.lost.clear()
+    cluster.mesh_cut.clear()
+    reconnect_zones(cluster)
+    wait(cluster, 90.0)
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
+
+
+@pytest.mark.parametrize("back_first", [True, False])
+def test_the_store_is_down_as_the_zone_returns(back_first):
+    cluster = recovery_cluster()
+    fill_with_one_job(cluster)
+    cut_zone_off(cluster)
+    wait(cluster, 22.0)
+    assert zone_state(cluster) == "lost"
+    cluster.state.down = True
+    wait(cluster, 4.0)
+    if back_first:
+        reconnect_zones(cluster)
+        wait(cluster, 6.0)
+    cluster.state.down = False
+    reconnect_zones(cluster)
+    wait(cluster, 60.0)
+    assert zone_state(cluster) == "up"
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
+
+
+def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back():
+    cluster = recovery_cluster()
+    fill_with_one_job(cluster)
+    deleted_worker = next(worker for worker in cluster.workers.values() if worker.zone == "south")
+    late_heartbeat = deleted_worker.heartbeat()
+    cut_zone_off(cluster)
+    wait(cluster, 40.0)
+    assert deleted_worker.name in cluster.deleted
+    before = cluster.nodes[cluster.leader()].scheduler.state.machines.keys()
+    cluster.replay(late_heartbeat, cluster.leader())
+    assert deleted_worker.name not in {
+        cluster.nodes[cluster.leader()].scheduler.state.machine_names[i] for i in before
+    }
+
+
+def test_services_bound_to_the_zone_and_gangs_partly_inside_it_resume():
+    cluster = recovery_cluster()
+    cluster.submit("n0", cluster.daemon(1, crew="open", parts=2, yard="south", loaners=True))
+    cluster.submit("n0", cluster.job(2, crew="open", shape="gang", parts=6, guess_s=900.0))
+    wait(cluster, 8.0)
+    placed = len(running_tasks(cluster))
+    assert placed >= 2
+    cut_zone_off(cluster)
+    wait(cluster, 22.0)
+    assert [
+        task_id
+        for task_id in running_tasks(cluster)
+        if task_id not in running_in_zone(cluster) and task_id.startswith("req-000001")
+    ] == []
+    reconnect_zones(cluster)
+    wait(cluster, 60.0)
+    assert {task_id for task_id in running_tasks(cluster) if task_id.startswith("req-000001")} == {
+        "req-000001/0",
+        "req-000001/1",
+    }
+    assert set(running_in_zone(cluster)) >= {"req-000001/0", "req-000001/1"}
+
+
+def test_work_returns_in_the_configured_order_and_none_starves():
+    cluster = recovery_cluster()
+    fill_with_one_job(cluster)
+    cut_zone_off(cluster)
+    wait(cluster, 36.0)  # until its machines are deleted
+    assert zone_state(cluster) in ("lost", "returning")
+    for number, lane in ((2, "trickle"), (3, "sweep"), (4, "hot")):
+        cluster.submit(
+            "n0",
+            cluster.job(
+                number, lane=lane, crew="open", parts=4, guess_s=900.0, yard="south", bundle=f"img-{lane}"
+            ),
+        )
+    reconnect_zones(cluster)
+    cluster.capacity = 0
+    for _ in range(2):  # capacity for two of the three jobs
+        cluster.machine(zone="south")
+    wait(cluster, 16.0)
+    assert {task_id[:10] for task_id in running_in_zone(cluster)} == {"req-000004", "req-000003"}, (
+        "hot, then sweep"
+    )
+    jobs = cluster.nodes[cluster.leader()].scheduler.state.jobs
+    hot, sweep = (
+        [placement.attempt for placement in jobs[name].open.values()] for name in ("req-000004", "req-000003")
+    )
+    assert max(hot) < min(sweep)
+    for task_id in running_in_zone(cluster):
+        if task_id.startswith("req-000004"):
+            cluster.finish(task_id)
+    wait(cluster, 20.0)
+    assert {task_id[:10] for task_id in running_in_zone(cluster)} == {"req-000003", "req-000002"}, (
+        "none starves"
+    )
--- /dev/null
+++ b/tests/zone_helpers.py
@@ -0,0 +1,68 @@
+"""Set-up of tests in which a whole zone is lost and returns."""
+
+from typing import Any
+
+from cluster_helpers import running_tasks, wait
+from world import World
+
+from bayford.recovery import zone_record
+from bayford.scheduling.policy import Policy
+
+RECOVERY_POLICY = Policy(
+    hold_s=0.0,
+    hold_idle_s=0.0,
+    recovery=True,
+    return_order=("hot", "sweep"),
+    extra_classes=("hot", "sweep"),
+    keep_idle_s=1e6,
+    surplus_idle_s=1e6,
+    on_demand_idle_s=1e6,
+)
+
+
+def recovery_cluster(machines: int = 8, nodes: int = 3, seed: int = 1) -> World:
+    """Machines in two zones, and a leader in the north."""
+    cluster = World(nodes, policy=RECOVERY_POLICY, seed=seed)
+    cluster.capacity = 0
+    for n in range(machines):
+        cluster.machine(zone="south" if n % 2 else "north")
+    wait(cluster, 16.0)  # longer than a lease: only then can a new leader know that a zone is lost
+    return cluster
+
+
+def cut_zone_off(cluster: World, zone: str = "south") -> None:
+    """Cut the machines of a zone off from all controllers."""
+    names = [worker.name for worker in cluster.workers.values() if worker.zone == zone]
+    cluster.cut |= {(name, node) for name in names for node in cluster.names}
+
+
+def reconnect_zones(cluster: World) -> None:
+    """End all partitions between workers and controllers."""
+    cluster.cut.clear()
+
+
+def zone_state(cluster: World, zone: str = "south") -> str:
+    """The state of a zone as the leader has it."""
+    leader = cluster.nodes[cluster.leader()].scheduler
+    return leader.zone_monitor.statuses[leader.state.zones.find(zone)].state.value
+
+
+def stored_zone_record(cluster: World, zone: str = "south") -> zone_record.ZoneRecord:
+    """The record of a zone in the key-value store."""
+    return zone_record.decode(cluster.state.rows[zone_record.key(zone)][0])
+
+
+def running_in_zone(cluster: World, zone: str = "south") -> list[str]:
+    """The tasks that run on machines of a zone, sorted."""
+    return sorted(
+        task_id for worker in cluster.workers.values() if worker.zone == zone for task_id in worker.running()
+    )
+
+
+def fill_with_one_job(cluster: World, **fields: Any) -> list[str]:
+    """Run a job with a task for every CPU; the tasks of it that run in the south."""
+    tasks = 4 * len(cluster.workers)
+    cluster.submit("n0", cluster.job(1, **({"crew": "open", "parts": tasks, "guess_s": 900.0} | fields)))
+    wait(cluster, 5.0)
+    assert len(running_tasks(cluster)) == tasks
+    return running_in_zone(cluster)
