--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,14 +1,16 @@
-"""Admission: the pure decisions."""
+"""Admission control: decisions, levels, demand and capacity, each by itself."""
 
 import contextlib
 import itertools
 import random
+from collections.abc import Sequence
 from dataclasses import replace
 
 import msgspec
 import orjson
 import pytest
 import z3
+from cluster_helpers import VALID_SETTINGS
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -39,27 +41,30 @@
 from bayford.transport.concurrency_limit import ConcurrencyLimit
 from bayford.transport.http_client import HttpClient
 from standins.state_service import StateService
-from tests.test_config import GOOD
 
 KEY = "07" * 32
 SWEEP, BUILD = Flow(1, "sweep", "red"), Flow(2, "build", "red")
-HALF = Level(3, 5.0, KEY, SUBMISSIONS, 4.0, windows=(Window(1, "sweep", "red", 1000, POSITIONS // 2),))
+HALF_LEVEL = Level(3, 5.0, KEY, SUBMISSIONS, 4.0, windows=(Window(1, "sweep", "red", 1000, POSITIONS // 2),))
 TIMES = AdmissionTimes(2.0, 10.0, 60.0, 1.25, 0.8, 10.0, 900.0, Floors(0.05))
 IDS = [f"req-{n:06d}" for n in range(2000)]
 
 
-def test_the_choice_is_a_function_of_the_level_and_the_job_alone():
-    admitted = [name for name in IDS if decide(HALF, SWEEP, name).admitted]
+def test_the_decision_depends_on_the_level_and_the_job_alone():
+    admitted = [name for name in IDS if decide(HALF_LEVEL, SWEEP, name).admitted]
     assert 0.45 < len(admitted) / len(IDS) < 0.55
-    assert admitted == [name for name in IDS if decide(decode(encode(HALF, 4096)), SWEEP, name).admitted]
-    assert all(decide(HALF, BUILD, name).admitted for name in IDS), "a flow without a window is admitted"
+    assert admitted == [
+        name for name in IDS if decide(decode(encode(HALF_LEVEL, 4096)), SWEEP, name).admitted
+    ]
+    assert all(decide(HALF_LEVEL, BUILD, name).admitted for name in IDS), (
+        "a flow without a window is admitted"
+    )
     assert all(decide(None, SWEEP, name).admitted for name in IDS)
-    other = msgspec.structs.replace(HALF, key="08" * 32)
+    other = msgspec.structs.replace(HALF_LEVEL, key="08" * 32)
     assert admitted != [name for name in IDS if decide(other, SWEEP, name).admitted]
 
 
-def test_a_refusal_says_when_the_window_comes():
-    level = HALF
+def test_a_refusal_says_when_the_window_reaches_the_job():
+    level = HALF_LEVEL
     for name in IDS[:200]:
         left = levels_until(level, level.windows[0], position(KEY, name))
         decision = decide(level, SWEEP, name)
@@ -73,54 +78,63 @@
 
 
 @pytest.mark.parametrize("floor", [0.05, 0.3, 1.0])
-def test_whoever_repeats_is_admitted_after_a_bounded_number_of_levels(floor):
-    """The narrowest windows, by running them; the bound is the one that docs/admission.md states."""
-    least = window_width(floor, TIMES.turn_s)
+def test_a_repeated_submission_is_admitted_after_a_bounded_number_of_levels(floor):
+    """The narrowest windows, step by step; the bound is the one that docs/admission.md states."""
+    narrowest = window_width(floor, TIMES.turn_s)
     bound = most_levels(floor, TIMES.interval_s, TIMES.turn_s)
-    level = msgspec.structs.replace(HALF, windows=(Window(1, "sweep", "red", 7, least),))
-    for where in (0, 6, 7, least + 6, least + 7, POSITIONS - 1):
-        assert levels_until(level, level.windows[0], where) < bound
+    level = msgspec.structs.replace(HALF_LEVEL, windows=(Window(1, "sweep", "red", 7, narrowest),))
+    for position_at in (0, 6, 7, narrowest + 6, narrowest + 7, POSITIONS - 1):
+        assert levels_until(level, level.windows[0], position_at) < bound
 
 
-def test_no_sequence_of_widths_leaves_a_position_out():
-    """Proved for any widths: between one window and the next no position is passed over, since the next one
+def test_no_sequence_of_widths_skips_a_position():
+    """Proved for any widths: no position is skipped between one window and the next, since the next one
     starts within the one before (z3 finds no counterexample)."""
-    start, width, following, where = z3.Ints("start width following where")
+    start, width, following, position_at = z3.Ints("start width following where")
     step = z3.If(width * 2 / 30 > 1, width * 2 / 30, 1)
     solver = z3.Solver()
     solver.add(start >= 0, width >= 1, width <= POSITIONS, following >= 1, following <= POSITIONS)
-    # The window goes from `start` to the next one's start; a position passed is one that it never held.
-    solver.add(where >= start, where < start + step, where >= start + width)
+    # The window moves from `start` to the next start; a skipped position is one that it never covered.
+    solver.add(position_at >= start, position_at < start + step, position_at >= start + width)
     assert solver.check() == z3.unsat
     solver.reset()
-    wrong = start + width + 1  # a window that jumps on by more than its width does pass positions over
-    solver.add(start >= 0, width >= 1, where >= start, where < wrong, where >= start + width)
+    past_the_end = start + width + 1  # a window that moves by more than its width does skip positions
+    solver.add(
+        start >= 0, width >= 1, position_at >= start, position_at < past_the_end, position_at >= start + width
+    )
     assert solver.check() == z3.sat
 
 
-def divided(demand, capacity=10.0, guarantees=None, exempt=(), floors=None):
+def divide(
+    demand: dict[Flow, float],
+    capacity: float = 10.0,
+    guarantees: dict[str, float] | None = None,
+    exempt: Sequence[str] = (),
+    floors: Floors | None = None,
+) -> dict[Flow, float]:
+    """The accepted rate of each flow."""
     return Allotment(capacity, demand, guarantees or {}, floors or Floors(0.05)).divide(exempt)
 
 
-def test_urgent_classes_go_first_and_each_class_keeps_its_floor():
-    rates = divided({SWEEP: 100.0, BUILD: 30.0, Flow(0, "mirror", "red"): 50.0})
+def test_urgent_classes_are_served_first_and_each_class_keeps_its_floor():
+    rates = divide({SWEEP: 100.0, BUILD: 30.0, Flow(0, "mirror", "red"): 50.0})
     assert rates[BUILD] == pytest.approx(9.0, abs=0.01)
     assert rates[SWEEP] == pytest.approx(0.5) and rates[Flow(0, "mirror", "red")] == pytest.approx(0.5)
 
 
 def test_the_team_furthest_above_its_guarantee_is_refused_first():
     red, blue, green = (Flow(1, "sweep", team) for team in ("red", "blue", "green"))
-    rates = divided({red: 100.0, blue: 3.0, green: 2.0}, guarantees={"red": 4.0, "blue": 4.0})
+    rates = divide({red: 100.0, blue: 3.0, green: 2.0}, guarantees={"red": 4.0, "blue": 4.0})
     assert rates[blue] == pytest.approx(3.0) and rates[red] == pytest.approx(5.5, abs=0.6)
-    assert 0 < rates[green] < 2.0, "without a guarantee, though not starved"
+    assert 0 < rates[green] < 2.0, "without a guarantee, but it does not starve"
     urgent = Flow(2, "build", "red")
-    rates = divided({urgent: 100.0, green: 2.0}, exempt=["green"])
-    assert rates[green] == pytest.approx(2.0), "a team within its guarantee goes before others' urgent jobs"
+    rates = divide({urgent: 100.0, green: 2.0}, exempt=["green"])
+    assert rates[green] == pytest.approx(2.0), "a team within its guarantee precedes urgent jobs of others"
 
 
-def test_a_flood_of_one_team_in_the_urgent_class_takes_nothing_from_others_there():
+def test_a_flood_of_one_team_in_the_urgent_class_takes_nothing_from_other_teams():
     red, blue, green = (Flow(2, "build", team) for team in ("red", "blue", "green"))
-    rates = divided({red: 100.0, blue: 1.0, green: 0.5, SWEEP: 5.0}, guarantees={"red": 5.0, "blue": 5.0})
+    rates = divide({red: 100.0, blue: 1.0, green: 0.5, SWEEP: 5.0}, guarantees={"red": 5.0, "blue": 5.0})
     assert rates[blue] == pytest.approx(1.0) and rates[green] == pytest.approx(0.5)
     assert rates[SWEEP] == pytest.approx(0.5) and rates[red] == pytest.approx(8.0, abs=0.01)
 
@@ -130,23 +144,25 @@
 
 @given(st.dictionaries(FLOWS, st.floats(0.01, 100), min_size=1), st.floats(0.5, 50))
 @settings(derandomize=True, max_examples=150)
-def test_an_allotment_divides_no_more_than_there_is(demand, capacity):
-    rates = divided(demand, capacity)
+def test_an_allotment_divides_no_more_than_the_capacity(demand, capacity):
+    rates = divide(demand, capacity)
     assert sum(rates.values()) <= capacity * 1.0001
     assert all(-1e-9 <= rates[flow] <= demand[flow] * 1.0001 for flow in demand)
-    assert sum(rates.values()) >= min(capacity, sum(demand.values())) * 0.999, "nothing is left unused"
+    assert sum(rates.values()) >= min(capacity, sum(demand.values())) * 0.999, "all capacity is used"
     for flow in demand:
         above = [f for f in demand if f.priority > flow.priority]
-        mates = {f for f in demand if (f.priority, f.job_class) == (flow.priority, flow.job_class)}
+        same_class = {f for f in demand if (f.priority, f.job_class) == (flow.priority, flow.job_class)}
         if any(rates[f] < demand[f] * 0.999 for f in above):
-            floor = min(0.05 * capacity, sum(demand[m] for m in mates))
-            assert sum(rates[m] for m in mates) <= floor * 1.001, "the floor alone, while others above wait"
+            floor = min(0.05 * capacity, sum(demand[m] for m in same_class))
+            assert sum(rates[m] for m in same_class) <= floor * 1.001, (
+                "only the floor while higher priorities wait"
+            )
 
 
-class Flood:
-    """A control fed with a demand, second by second."""
+class SimulatedDemand:
+    """A level control that gets a demand, in steps of half a second."""
 
-    def __init__(self, capacity=5.0):
+    def __init__(self, capacity: float = 5.0) -> None:
         self.control = LevelControl(TIMES)
         self.level: Level | None = None
         self.load = Load({}, {}, capacity, capacity, {"red": 0.0})
@@ -158,63 +174,66 @@
         for _ in range(int(seconds * 2)):
             self.now += 0.5
             key = KEY if self.level is None else "08" * 32  # a new one counts when refusing begins
-            found = self.control.next_level(self.level, self.load, self.now, 1e9 + self.now, key)
-            if found is not None:
-                self.level = found
-                self.levels.append(found)
+            new_level = self.control.next_level(self.level, self.load, self.now, 1e9 + self.now, key)
+            if new_level is not None:
+                self.level = new_level
+                self.levels.append(new_level)
         return self.level
 
 
-def test_refusing_begins_above_the_capacity_and_ends_without_swinging():
-    flood = Flood()
-    assert flood.run(30, {SWEEP: 6.0}) is None, "a fifth above the capacity is borne"
-    level = flood.run(20, {SWEEP: 50.0, BUILD: 2.0}, {SWEEP: 3.0, BUILD: 2.0})
+def test_refusing_begins_above_the_capacity_and_ends_without_oscillation():
+    simulation = SimulatedDemand()
+    assert simulation.run(30, {SWEEP: 6.0}) is None, "a fifth above the capacity is tolerated"
+    level = simulation.run(20, {SWEEP: 50.0, BUILD: 2.0}, {SWEEP: 3.0, BUILD: 2.0})
     assert level.reason == SUBMISSIONS and [w.flow for w in level.windows] == [SWEEP]
-    assert len(flood.levels) <= 20 / TIMES.interval_s + 1, "the least interval"
-    numbers = [each.number for each in flood.levels]
+    assert len(simulation.levels) <= 20 / TIMES.interval_s + 1, "the minimum interval"
+    numbers = [each.number for each in simulation.levels]
     assert numbers == sorted(set(numbers))
-    assert {(each.key, each.since) for each in flood.levels} == {(KEY, flood.levels[0].since)}
-    for before, after in itertools.pairwise(flood.levels):
+    assert {(each.key, each.since) for each in simulation.levels} == {(KEY, simulation.levels[0].since)}
+    for before, after in itertools.pairwise(simulation.levels):
         moved = (after.windows[0].start - before.windows[0].start) % POSITIONS
-        assert moved == before.step(before.windows[0]), "the window moves on, and passes nobody over"
-    assert not flood.run(9, {SWEEP: 1.0}).is_open, "calm, but not for long"
-    assert not flood.run(4, {SWEEP: 4.5}).is_open, "between the two bounds the present state stays"
-    opened = flood.run(14, {SWEEP: 1.0})
-    assert opened.is_open and opened.number == numbers[-1] + len(flood.levels) - len(numbers)
-    before = len(flood.levels)
-    flood.run(60, {SWEEP: 5.5})
-    assert len(flood.levels) == before, "and everything stays admitted"
-
-
-def test_the_widths_follow_what_is_really_accepted():
-    narrow, wide = Flood(), Flood()
+        assert moved == before.step(before.windows[0]), "the window moves on without skipping a position"
+    assert not simulation.run(9, {SWEEP: 1.0}).is_open, "within the capacity, but not for long enough"
+    assert not simulation.run(4, {SWEEP: 4.5}).is_open, "between the two bounds the state stays"
+    opened = simulation.run(14, {SWEEP: 1.0})
+    assert opened.is_open and opened.number == numbers[-1] + len(simulation.levels) - len(numbers)
+    before = len(simulation.levels)
+    simulation.run(60, {SWEEP: 5.5})
+    assert len(simulation.levels) == before, "everything stays admitted"
+
+
+def test_the_widths_follow_the_rate_of_acceptances():
+    narrow, wide = SimulatedDemand(), SimulatedDemand()
     narrow.run(30, {SWEEP: 20.0}, {SWEEP: 15.0})
     wide.run(30, {SWEEP: 20.0}, {SWEEP: 1.0})
     assert narrow.level.windows[0].width < wide.level.windows[0].width
     assert narrow.level.windows[0].width >= window_width(0.05, TIMES.turn_s), "the floor"
 
 
-def test_a_backlog_is_judged_only_where_the_fleet_cannot_grow():
-    flood = Flood()
-    assert flood.run(20, {SWEEP: 1.0}) is None
-    level = flood.run(20, {SWEEP: 1.0, BUILD: 1.0}, backlog={2: 10.0, 1: 3600.0})
+def test_a_long_backlog_makes_the_level_refuse_that_class():
+    simulation = SimulatedDemand()
+    assert simulation.run(20, {SWEEP: 1.0}) is None
+    level = simulation.run(20, {SWEEP: 1.0, BUILD: 1.0}, backlog={2: 10.0, 1: 3600.0})
     assert level.reason == BACKLOG and [w.flow for w in level.windows] == [SWEEP] and level.accept_rps == 0
 
 
-def test_a_new_leader_changes_no_width_before_it_has_listened():
-    flood = Flood()
-    flood.run(20, {SWEEP: 50.0})
-    before = flood.level
-    flood.control = LevelControl(TIMES)
-    flood.control.begin(flood.now)
-    flood.run(9, {})
-    assert flood.level.number > before.number and flood.level.windows[0].width == before.windows[0].width
-    assert flood.level.windows[0].start != before.windows[0].start, "but the window moves on"
+def test_a_new_leader_changes_no_width_before_it_has_observed_the_demand():
+    simulation = SimulatedDemand()
+    simulation.run(20, {SWEEP: 50.0})
+    before = simulation.level
+    simulation.control = LevelControl(TIMES)
+    simulation.control.begin(simulation.now)
+    simulation.run(9, {})
+    assert (
+        simulation.level.number > before.number
+        and simulation.level.windows[0].width == before.windows[0].width
+    )
+    assert simulation.level.windows[0].start != before.windows[0].start, "but the window moves on"
 
 
-def test_a_level_fits_into_a_value_and_keeps_what_refuses_most():
+def test_a_level_fits_into_a_value_and_keeps_its_narrowest_windows():
     windows = tuple(Window(1, "sweep", f"team-{n:03d}", 0, 100 + n) for n in range(500))
-    level = msgspec.structs.replace(HALF, windows=windows)
+    level = msgspec.structs.replace(HALF_LEVEL, windows=windows)
     value = encode(level, 4096)
     assert records.size(value) <= 4096
     kept = decode(value).windows
@@ -224,31 +243,35 @@
 @pytest.mark.parametrize(
     "change", [{"v": 2}, {"key": "x"}, {"key": "07"}, {"windows": 3}, {"turn_s": 0}, {"number": "a"}]
 )
-def test_what_is_no_level_of_this_form_is_unreadable(change):
+def test_a_value_that_is_no_level_of_this_form_is_unreadable(change):
     with pytest.raises(UnreadableLevelError):
-        decode(encode(HALF, 4096) | change)
+        decode(encode(HALF_LEVEL, 4096) | change)
 
 
-def test_a_level_counts_only_if_every_live_controller_keeps_to_it():
+def test_a_level_counts_only_if_every_live_controller_has_the_feature():
     members = [Row(records.MEMBERS + name, f"i-{name}", 1) for name in ("n0", "n1")]
-    told = {
+    stored_features = {
         name: Row(records.FEATURES + name, features.value(f"i-{name}", ["admission"]), 1)
         for name in ("n0", "n1")
     }
-    assert features.lacking(members, told.values()) == []
-    assert features.lacking(members, [told["n0"]]) == ["n1"]
-    old = Row(records.FEATURES + "n1", features.value("i-before", ["admission"]), 1)
-    assert features.lacking(members, [told["n0"], old]) == ["n1"], "a process that has ended speaks for none"
-    assert features.lacking(members, [told["n0"], Row(records.FEATURES + "n1", ["odd"], 1)]) == ["n1"]
+    assert features.lacking(members, stored_features.values()) == []
+    assert features.lacking(members, [stored_features["n0"]]) == ["n1"]
+    outdated = Row(records.FEATURES + "n1", features.value("i-before", ["admission"]), 1)
+    assert features.lacking(members, [stored_features["n0"], outdated]) == ["n1"], (
+        "the features of an ended process do not count"
+    )
+    assert features.lacking(members, [stored_features["n0"], Row(records.FEATURES + "n1", ["odd"], 1)]) == [
+        "n1"
+    ]
 
 
-def test_jobs_are_counted_once_wherever_they_are_repeated():
+def test_jobs_are_counted_once_wherever_their_submission_is_repeated():
     demand = DistinctDemand(10.0)
     nodes = {name: SubmittedJobs() for name in ("n0", "n1", "n2")}
     rng = random.Random(3)
     for second in range(100):
         now = float(second)
-        for n in range(40):  # new ones, and each of the last minute's again somewhere
+        for n in range(40):  # new jobs, and jobs of the last half minute again at any controller
             nodes[rng.choice(list(nodes))].note(SWEEP, f"req-{second}-{n}", now)
         for _ in range(200):
             again = f"req-{max(0, second - rng.randrange(30))}-{rng.randrange(40)}"
@@ -261,10 +284,10 @@
     assert demand.rates(150.0) == {}
     other = DistinctDemand(10.0)
     other.merge("n0", nodes["n0"].recent(99.0), 99.0)
-    assert other.rates(99.0) == {}, "a new owner takes no old job for a new one"
+    assert other.rates(99.0) == {}, "a new leader counts no old job as new"
 
 
-def test_rates_and_capacity():
+def test_rates_and_the_capacity_for_acceptances():
     rates: Rates[str] = Rates(10.0)
     for second in range(20):
         rates.note("a", float(second), 3)
@@ -277,35 +300,37 @@
         capacity.update(True, 0, 0.0)
     assert capacity.per_s == pytest.approx(7.2) and capacity.task_log_rps() == pytest.approx(3.84)
     capacity.update(True, 0, lag_s=99.0)
-    assert capacity.per_s < 7.2 and capacity.task_log_rps() > 3.84, "the ledger is far behind"
+    assert capacity.per_s < 7.2 and capacity.task_log_rps() > 3.84, "the task log is far behind"
     capacity.update(False, 5, 99.0)
-    assert capacity.per_s == pytest.approx(7.2), "while nothing is refused there is nothing to learn"
+    assert capacity.per_s == pytest.approx(7.2), (
+        "while the level refuses no jobs, refused writes do not lower the estimate"
+    )
 
 
-def test_the_pace_follows_the_state_service_and_keeps_some_for_urgent_work():
+def test_the_acceptance_rate_follows_the_store_and_reserves_some_for_urgent_jobs():
     now = [0.0]
-    pace = AcceptanceRateLimiter(10.0, lambda: now[0])
+    limiter = AcceptanceRateLimiter(10.0, lambda: now[0])
     for _ in range(8):
         now[0] += 1.0
-        pace.refused()
+        limiter.refused()
     now[0] += 10.0
-    assert [pace.take(False, None) for _ in range(3)] == [True, False, False], (
-        "few, and half of them urgent's"
+    assert [limiter.take(False, None) for _ in range(3)] == [True, False, False], (
+        "few, and half of them for urgent jobs"
     )
-    assert [pace.take(True, None) for _ in range(2)] == [True, False]
+    assert [limiter.take(True, None) for _ in range(2)] == [True, False]
     for _ in range(50):
-        pace.written()
+        limiter.written()
     now[0] += 1.0
-    assert sum(pace.take(True, None) for _ in range(20)) == 10
+    assert sum(limiter.take(True, None) for _ in range(20)) == 10
     now[0] += 1.0
-    assert sum(pace.take(True, 3.0) for _ in range(20)) == 3, "the level's part, if that is less"
+    assert sum(limiter.take(True, 3.0) for _ in range(20)) == 3, "the rate of the level, if that is less"
 
 
-def test_requests_that_are_not_urgent_leave_a_part_of_the_limit():
+def test_requests_that_are_not_urgent_leave_a_share_of_the_concurrency_limit():
     limit = ConcurrencyLimit(start=8.0)
-    with contextlib.ExitStack() as inside:
-        assert [inside.enter_context(limit.enter(0.75)) for _ in range(7)] == [True] * 6 + [False]
-        assert [inside.enter_context(limit.enter()) for _ in range(3)] == [True, True, False]
+    with contextlib.ExitStack() as entered:
+        assert [entered.enter_context(limit.enter(0.75)) for _ in range(7)] == [True] * 6 + [False]
+        assert [entered.enter_context(limit.enter()) for _ in range(3)] == [True, True, False]
     assert [priority_of(body) for body in (b'{"rank":"urgent"}', b'{"rank":"odd"}', b"[", b"{}")] == [
         2,
         0,
@@ -314,30 +339,32 @@
     ]
 
 
-def test_the_command_shows_the_level_and_says_when_it_cannot(tmp_path, capsys):
+def test_the_admission_command_shows_the_level_or_says_why_not(tmp_path, capsys):
     service = StateService()
     path = tmp_path / "settings.toml"
-    path.write_text(GOOD.replace("127.0.0.1:5", service.address))
+    path.write_text(VALID_SETTINGS.replace("127.0.0.1:5", service.address))
     store = KeyValueApi(HttpClient(*split_address(service.address)).call)
-    shown = ["admission", "--config", str(path)]
-    assert cli.main(shown) == 0 and "no level" in capsys.readouterr().out
+    command = ["admission", "--config", str(path)]
+    assert cli.main(command) == 0 and "no level" in capsys.readouterr().out
     store.compare_and_swap(
-        {}, [Put(records.ADMISSION, encode(HALF, 4096)), Put(records.MEMBERS + "n1", "i1")]
+        {}, [Put(records.ADMISSION, encode(HALF_LEVEL, 4096)), Put(records.MEMBERS + "n1", "i1")]
     )
-    assert cli.main(shown) == 0
-    out = capsys.readouterr().out
-    assert "refusing for submissions" in out and "not in force: n1 keep to no level" in out
-    assert cli.main([*shown, "--json"]) == 0
+    assert cli.main(command) == 0
+    output = capsys.readouterr().out
+    assert "refusing for submissions" in output and "not in force: n1 keep to no level" in output
+    assert cli.main([*command, "--json"]) == 0
     assert orjson.loads(capsys.readouterr().out)["lacking"] == ["n1"]
     store.compare_and_swap({}, [Put(records.ADMISSION, {"v": 7})])
-    assert cli.main(shown) == 1 and "everything is admitted" in capsys.readouterr().err
+    assert cli.main(command) == 1 and "everything is admitted" in capsys.readouterr().err
     service.close()
-    assert cli.main(shown) == 1 and "is out" in capsys.readouterr().err
+    assert cli.main(command) == 1 and "is out" in capsys.readouterr().err
 
 
-def test_what_operators_are_shown():
+def test_the_report_of_a_level():
     assert "no level" in level_report.as_text(None, [])
-    text = level_report.as_text(HALF, ["n1"])
+    text = level_report.as_text(HALF_LEVEL, ["n1"])
     assert "refusing for submissions" in text and "sweep (normal) of red: 50.0%" in text and "n1" in text
-    assert KEY not in level_report.as_json(HALF, []) and '"in_force": true' in level_report.as_json(HALF, [])
+    assert KEY not in level_report.as_json(HALF_LEVEL, []) and '"in_force": true' in level_report.as_json(
+        HALF_LEVEL, []
+    )
     assert "everything is admitted since" in level_report.as_text(Level(4, 5.0, KEY), [])
--- a/tests/test_room_index.py
+++ b/tests/test_capacity_index.py
@@ -1,4 +1,4 @@
-"""`CapacityIndex` finds what a look at the whole fleet would find, whatever has happened to the machines."""
+"""`CapacityIndex` finds the same machines as a search of the whole fleet, after any sequence of events."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,6 +13,7 @@
 
 
 def make_job(image: int, cpus: float, mem_gb: float, zone: int | None, spot: bool, tasks: int = 5) -> Job:
+    """A job with one shape for all its tasks."""
     spec = JobSpec(
         "req-1",
         "sweep",
@@ -38,7 +39,7 @@
 
 
 machines = st.builds(
-    lambda spot, zone, used, mem_gb, images, full, reclaim_at: Machine(
+    lambda spot, zone, used, mem_gb, images, in_backoff, reclaim_at: Machine(
         0,
         "",
         type=0,
@@ -49,7 +50,7 @@
         free_cpus=CPUS - used,
         free_mem=mem_gb,
         images=images,
-        backoff_until=1.0 if full else 0.0,
+        backoff_until=1.0 if in_backoff else 0.0,
         reclaim_at=1.0 if reclaim_at else None,
     ),
     spot=st.booleans(),
@@ -57,7 +58,7 @@
     used=st.integers(0, int(CPUS)).map(float),
     mem_gb=st.sampled_from([2.0, 8.0, 32.0]),
     images=st.dictionaries(st.integers(0, IMAGES - 1), st.booleans(), max_size=IMAGES),
-    full=st.booleans(),
+    in_backoff=st.booleans(),
     reclaim_at=st.booleans(),
 )
 jobs = st.builds(
@@ -71,32 +72,34 @@
 
 
 def indexed(fleet: list[Machine]) -> CapacityIndex:
-    room = CapacityIndex()
+    """An index of these machines and the images that they have."""
+    capacity_index = CapacityIndex()
     for index, machine in enumerate(fleet):
         machine.index = index
-        room.update(machine)
+        capacity_index.update(machine)
         for image in machine.images:
-            room.holds(machine, image)
-    return room
+            capacity_index.holds(machine, image)
+    return capacity_index
 
 
 def full_search(job: Job, fleet: list[Machine], with_image_only: bool) -> list[Machine]:
-    found = placement_rules.ranked(job, placement_rules.candidates(job, fleet, {}, 0.0))
-    return [m for m in found if job.image in m.images] if with_image_only else found
+    """The eligible machines in the order of preference, by a search of the whole fleet."""
+    ranked = placement_rules.ranked(job, placement_rules.candidates(job, fleet, {}, 0.0))
+    return [m for m in ranked if job.image in m.images] if with_image_only else ranked
 
 
 def assert_same(
-    room: CapacityIndex, fleet: list[Machine], job: Job, count: int, with_image_only: bool
+    capacity_index: CapacityIndex, fleet: list[Machine], job: Job, count: int, with_image_only: bool
 ) -> None:
     def may_take(machine: Machine) -> bool:
         return placement_rules.eligible(job, machine, {}, 0.0)
 
     expected = [m.index for m in full_search(job, fleet, with_image_only)[:count]]
-    assert [m.index for m in room.best(job, count, may_take, with_image_only)] == expected
+    assert [m.index for m in capacity_index.best(job, count, may_take, with_image_only)] == expected
 
 
 @given(st.lists(machines, max_size=40), jobs, st.integers(1, 12), st.booleans())
-def test_the_index_finds_what_a_search_of_the_whole_fleet_finds(fleet, job, count, with_image_only):
+def test_the_index_finds_the_same_machines_as_a_search_of_the_whole_fleet(fleet, job, count, with_image_only):
     assert_same(indexed(fleet), fleet, job, count, with_image_only)
 
 
@@ -105,7 +108,7 @@
     st.lists(
         st.tuples(
             st.integers(0, 19),
-            st.sampled_from(["take", "give", "image", "evict", "gone", "back"]),
+            st.sampled_from(["reserve", "release", "image", "evict", "removed", "back"]),
             st.integers(0, IMAGES),
         ),
         max_size=30,
@@ -113,37 +116,37 @@
     jobs,
     st.integers(1, 8),
 )
-def test_the_index_follows_bookings_images_and_lost_machines(fleet, events, job, count):
-    room = indexed(fleet)
+def test_the_index_follows_reservations_images_and_lost_machines(fleet, events, job, count):
+    capacity_index = indexed(fleet)
     present = {machine.index: machine for machine in fleet}
-    booked = make_job(0, 1.0, 1.0, None, True)
+    reserving_job = make_job(0, 1.0, 1.0, None, True)
     for number, event, image in events:
         machine = fleet[number % len(fleet)]
         if event == "back" and machine.index not in present:
             present[machine.index] = machine
-            room.update(machine)
+            capacity_index.update(machine)
         elif machine.index not in present:
             continue
-        elif event == "take" and machine.has_room(booked.spec):
-            machine.reserve(booked.spec)
-        elif event == "give" and machine.free_cpus < CPUS:
-            machine.release(booked.spec)
+        elif event == "reserve" and machine.has_room(reserving_job.spec):
+            machine.reserve(reserving_job.spec)
+        elif event == "release" and machine.free_cpus < CPUS:
+            machine.release(reserving_job.spec)
         elif event == "image":
             machine.images[image] = True
-            room.holds(machine, image)
+            capacity_index.holds(machine, image)
         elif event == "evict" and machine.images.pop(image, None) is not None:
-            room.dropped(machine, image)
-        elif event == "gone":
-            room.remove(machine)
+            capacity_index.dropped(machine, image)
+        elif event == "removed":
+            capacity_index.remove(machine)
             machine.images.clear()
             del present[machine.index]
             continue
-        room.update(machine)
-    assert set(room.machines) == {i for i, m in present.items() if m.free_cpus > 0}
-    assert_same(room, list(present.values()), job, count, False)
+        capacity_index.update(machine)
+    assert set(capacity_index.machines) == {i for i, m in present.items() if m.free_cpus > 0}
+    assert_same(capacity_index, list(present.values()), job, count, False)
 
 
-def test_a_search_does_not_look_at_the_whole_fleet():
+def test_a_search_does_not_check_the_whole_fleet():
     fleet = [
         Machine(
             0,
@@ -158,13 +161,13 @@
         )
         for n in range(4000)
     ]
-    room = indexed(fleet)
-    looked_at = 0
+    capacity_index = indexed(fleet)
+    checked = 0
 
     def may_take(machine: Machine) -> bool:
-        nonlocal looked_at
-        looked_at += 1
+        nonlocal checked
+        checked += 1
         return True
 
-    assert len(room.best(make_job(0, 1.0, 1.0, None, True), 10, may_take)) == 10
-    assert looked_at == 10
+    assert len(capacity_index.best(make_job(0, 1.0, 1.0, None, True), 10, may_take)) == 10
+    assert checked == 10
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,17 +1,14 @@
-"""A settings file with a wrong value stops `check-config` and the start, naming the field."""
+"""A settings file with an invalid value stops `check-config` and the start, naming the setting."""
 
 import re
-from pathlib import Path
 
 import pytest
-from world import SETTINGS
+from cluster_helpers import VALID_SETTINGS, settings_text
 
 from bayford import cli, config
-from bayford.script import evaluate, load
 
-GOOD = SETTINGS.format(name="n9", zone="north", writes=15.0, value_kb=8.0, cancel_s=42.0, coming="")
-LIMITS = "[facts.machine_limits]\ncore_share = 0.18\nmem_mb = 146.0\nfd_limit = 900\n"
-AIM = '[[facts.objectives]]\nkind = "finished"\nclass = "sweep"\nwithin_s = 80.0\nshare = 0.8\n'
+MACHINE_LIMITS = "[facts.machine_limits]\ncore_share = 0.18\nmem_mb = 146.0\nfd_limit = 900\n"
+OBJECTIVE = '[[facts.objectives]]\nkind = "finished"\nclass = "sweep"\nwithin_s = 80.0\nshare = 0.8\n'
 
 
 @pytest.mark.parametrize(
@@ -37,66 +34,55 @@
     ],
 )
 @pytest.mark.parametrize("verb", ["check-config", "serve"])
-def test_a_wrong_value_is_named(verb, old, new, field, tmp_path, capsys):
-    text = GOOD + LIMITS + AIM
+def test_an_invalid_value_stops_the_program_and_is_named(verb, old, new, field, tmp_path, capsys):
+    text = VALID_SETTINGS + MACHINE_LIMITS + OBJECTIVE
     config.parse(text)
     assert old in text
     path = tmp_path / "settings.toml"
     path.write_text(text.replace(old, new, 1))
     assert cli.main([verb, "--config", str(path)]) == 2
-    complaint = capsys.readouterr().err
-    assert re.search(re.escape(f"`$.{field}`"), complaint), complaint
+    message = capsys.readouterr().err
+    assert re.search(re.escape(f"`$.{field}`"), message), message
 
 
 @pytest.mark.parametrize(
-    ("line", "field"),
+    ("old", "new", "field"),
     [
-        ("spred = True", "spred"),
-        ("spread = 1", "spread"),
-        ("spread_load_s = -1.0", "spread_load_s"),
-        ("spread_fetch_weight = -0.1", "spread_fetch_weight"),
-        ("spread_threshold = 0.5", "spread_threshold"),
-        ("spread_candidates = 2.5", "spread_candidates"),
-        ("spread_restarts_default = 1.5", "spread_restarts_default"),
-        ('spread_restarts = {"sweep": 1.5}', "spread_restarts['sweep']"),
-        ('spread_restarts = {"sweep": -1}', "spread_restarts['sweep']"),
-        ('spread_restarts = {"sweep": True}', "spread_restarts['sweep']"),
-        ('spread_restarts = {"seep": 1}', "spread_restarts: 'seep'"),
-        ('spread_restarts = ["sweep"]', "spread_restarts"),
-        ('spread_lossy = ["seep"]', "spread_lossy: 'seep'"),
-        ("spread_lossy = [1]", "spread_lossy"),
-        ("admission = 1", "admission"),
-        ("admission_accept_share = 1.1", "admission_accept_share"),
-        ("admission_floor = 0.0", "admission_floor"),
-        ("admission_interval_s = 0.0", "admission_interval_s"),
-        ("admission_turn_s = -1.0", "admission_turn_s"),
-        ("admission_leave = 1.5", "admission_leave"),
-        ('admission_floors = {"sweep": 1.5}', "admission_floors['sweep']"),
-        ('admission_floors = {"seep": 0.1}', "admission_floors: 'seep'"),
-        ('admission_floors = {"sweep": 0.1, "sweep": 0.2}', "p.star:1"),
-        ('extra_classes = ["a"]\nadmission_floors = {"sweep": 0.6, "a": 0.6}', "admission_floors"),
+        ("lease_s = 12.0", "", "lease_s"),
+        ("lease_s = 12.0", 'lease_s = "x"', "lease_s"),
+        ('front = "127.0.0.1:1"', 'front = "nowhere"', "front"),
+        ("rps = 3.0", "rps = 0.0", "cloud.rps"),
     ],
 )
-@pytest.mark.parametrize("verb", ["check-config", "serve"])
-def test_a_wrong_setting_is_named(verb, line, field, tmp_path, capsys):
-    settings, script = tmp_path / "settings.toml", tmp_path / "p.star"
-    settings.write_text(GOOD + AIM)
-    script.write_text(line + "\n")
-    assert cli.main([verb, "--config", str(settings), "--script", str(script)]) == 2
+def test_check_config_names_the_setting_at_fault(old, new, field, tmp_path, capsys):
+    path = tmp_path / "s.toml"
+    path.write_text(VALID_SETTINGS.replace(old, new))
+    assert cli.main(["check-config", "--config", str(path)]) == 2
     assert field in capsys.readouterr().err
 
 
-@pytest.mark.parametrize("script", ["policy.star", "all-parts.star"])
-def test_the_scripts_that_are_shipped_are_good(script, tmp_path, capsys):
-    settings = tmp_path / "settings.toml"
-    settings.write_text(GOOD + AIM)
-    shipped = Path(__file__).parent.parent / "deploy" / script
-    assert cli.main(["check-config", "--config", str(settings), "--script", str(shipped)]) == 0
-    policy = load(str(shipped), config.parse(GOOD + AIM))
-    assert policy.spread == policy.admission == (script == "all-parts.star")
-    assert policy.spread_restarts == ({"sweep": 2} if policy.spread else {})
+def test_unknown_settings_are_ignored():
+    assert config.parse(VALID_SETTINGS + "\n[extra]\nx = 1\n").member == "n9"
+
+
+def test_check_config_refuses_a_missing_file(tmp_path):
+    assert cli.main(["check-config", "--config", str(tmp_path / "none.toml")]) == 2
 
 
-def test_classes_that_no_aim_names_may_be_added():
-    text = 'extra_classes = ["trickle"]\nspread_restarts = {"trickle": 3}\n'
-    assert evaluate(text, "p.star", config.parse(GOOD)).spread_restarts == {"trickle": 3}
+@pytest.mark.parametrize(
+    ("line", "field"),
+    [
+        ("value_kb = 0", "value_kb"),
+        ("txn_ops = -1", "txn_ops"),
+        ("rps = 0.0", "rps"),
+        ('write_rps = "x"', "write_rps"),
+    ],
+)
+def test_upcoming_limits_are_checked_like_every_setting(line, field):
+    text = settings_text(next_limits=line)
+    with pytest.raises(config.SettingsError, match=f"state.next.{field}"):
+        config.parse(text)
+    next_limits = config.parse(text.replace(line, "novelty = 3")).facts.state.next
+    assert next_limits is not None and next_limits.value_kb is None, (
+        "each is optional, unknown ones are ignored"
+    )
--- /dev/null
+++ b/tests/test_launch_planning.py
@@ -0,0 +1,33 @@
+"""Launch plans: which machines are asked of the cloud for the demand."""
+
+import dataclasses
+
+from world import World
+
+from bayford.scheduling import scaling
+
+
+def test_launch_plans_prefer_spot_and_take_on_demand_machines_only_where_needed():
+    types = World(1).catalog()
+    spot, on_demand = scaling.MachinePool(0, 0, True), scaling.MachinePool(0, 0, False)
+    demand = scaling.Demand(frozenset({spot, on_demand}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
+
+    def plan_for(demand, refused=(), spare=None, yielded=0.0, busy=50.0):
+        demand = dataclasses.replace(demand, yielded=yielded)
+        plans = scaling.plan_launches([demand], types, spare or {}, frozenset(refused), busy, 1e9, 2.0)
+        return [(plan.pool, plan.count) for plan in plans]
+
+    assert plan_for(demand) == [(spot, 2)]
+    assert plan_for(demand, spare={spot: 1}) == [(spot, 1)]
+    assert plan_for(demand, busy=1.0) == []
+    assert plan_for(demand, refused=[spot]) == []
+    without_spot = dataclasses.replace(demand, spot_cpus=0.0)
+    assert plan_for(without_spot) == [(spot, 2)]
+    assert plan_for(without_spot, refused=[spot]) == [(on_demand, 2)], (
+        "no spot machine exists or is available"
+    )
+    late = scaling.Demand(demand.pools, 8, 1.0, 0.0, 1.0, 20.0, False, 3, 640.0, 640.0)
+    assert plan_for(late, refused=[spot]) == [(on_demand, 1)], "only as many as are worth it"
+    urgent = scaling.Demand(demand.pools, 8, 1.0, 0.0, 1.0, 20.0, True, 0, 640.0, 640.0)
+    assert plan_for(urgent, refused=[spot]) == [(on_demand, 2)]
+    assert plan_for(urgent, refused=[spot], yielded=8.0) == [], "it may preempt work of lower priority"
--- a/tests/test_handover.py
+++ b/tests/test_leadership_transfer.py
@@ -1,11 +1,12 @@
-"""Handing leadership to a controller that hears the workers (`coordination.leadership transfer`)."""
+"""Leadership transfer to a controller that receives the heartbeats (`coordination.leadership.transfer`)."""
 
 import orjson
 import pytest
-from test_stories import quiet, running, wait
+from cluster_helpers import idle_cluster, running_tasks, wait
 from world import Worker, World
 
 from bayford.clock import NEVER
+from bayford.coordination.leadership.membership import lacks_failover_neighbour
 from bayford.coordination.leadership.transfer import WorkerContact, successor
 from bayford.storage import records
 from bayford.storage.key_value_store import Put
@@ -21,10 +22,10 @@
 
 def busy_cluster(parts: int = 12, machines: int = 3) -> tuple[World, str]:
     """Three controllers, machines that are full as a rule, and a leader in charge for longer than a lease."""
-    cluster = quiet(machines=machines, nodes=3)
+    cluster = idle_cluster(machines=machines, nodes=3)
     cluster.submit("n0", cluster.job(1, crew="open", parts=parts, guess_s=500.0))
     wait(cluster, LEASE_S + 4.0, fleet=False)
-    assert len(running(cluster)) == parts
+    assert len(running_tasks(cluster)) == parts
     leader = cluster.leader()
     assert leader is not None
     return cluster, leader
@@ -34,25 +35,25 @@
     return cluster.state.rows[records.LEADERSHIP][0]["token"]
 
 
-def test_an_leader_without_workers_hands_over_and_nothing_stops():
+def test_a_leader_without_workers_transfers_leadership_and_no_task_stops():
     cluster, leader = busy_cluster()
-    before = running(cluster)
+    before = running_tasks(cluster)
     first = fencing_token(cluster)
     cut_off(cluster, leader)
     wait(cluster, 30.0)
-    heir = cluster.leader()
-    assert heir not in (None, leader), "it went through relays for as long as it kept its lease"
+    new_leader = cluster.leader()
+    assert new_leader not in (None, leader), "without a transfer it kept its lease and used relays"
     assert fencing_token(cluster) == first + 1
     assert not cluster.nodes[leader].scheduler.leader
-    assert running(cluster) == before and cluster.deleted == []
-    assert {worker.at for worker in cluster.workers.values()} == {heir}
+    assert running_tasks(cluster) == before and cluster.deleted == []
+    assert {worker.at for worker in cluster.workers.values()} == {new_leader}
     assert cluster.cancel(leader, "req-000001") == "aborted"
     wait(cluster, 6.0)
-    assert running(cluster) == []
+    assert running_tasks(cluster) == []
 
 
-def test_cancelled_starts_on_relayed_machines_do_not_cost_their_machines():
-    """A relay passes no evidence on that closes a cancelled start. While the leader went through relays, each
+def test_cancelled_starts_on_relayed_machines_delete_no_machine():
+    """A relay passes on no evidence that closes a cancelled start. While the leader used relays, each
     machine with such a start was deleted at half of `cancel_s`, with all other work on it."""
     cluster, leader = busy_cluster(parts=2, machines=2)
     cut_off(cluster, leader)
@@ -62,16 +63,16 @@
     assert cluster.cancel(leader, "req-000002") == "aborted"
     wait(cluster, cluster.cancel_s + 5.0)
     assert cluster.deleted == []
-    assert running(cluster) == ["req-000001/0", "req-000001/1"]
+    assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
 
 
-def test_two_controllers_that_lose_their_workers_in_turn_change_at_most_once_a_lease():
+def test_leadership_moves_at_most_once_a_lease_where_leaders_lose_tnew_leader_workers_in_turn():
     cluster, leader = busy_cluster()
-    before = running(cluster)
+    before = running_tasks(cluster)
     first = fencing_token(cluster)
     period_s = 90.0
     for second in range(int(period_s)):
-        if second % 3 == 0:  # whoever owns loses its workers, whoever owned has them back
+        if second % 3 == 0:  # the leader loses its workers, the previous one has them back
             cluster.cut.clear()
             cut_off(cluster, cluster.leader() or leader)
         wait(cluster, 1.0, fleet=False)
@@ -79,10 +80,10 @@
     assert 1 <= changes <= 1 + period_s / LEASE_S
     cluster.cut.clear()
     wait(cluster, 20.0, fleet=False)
-    assert set(running(cluster)) >= set(before)
+    assert set(running_tasks(cluster)) >= set(before)
 
 
-def test_two_controllers_without_workers_do_not_hand_to_one_another():
+def test_no_transfer_between_two_controllers_without_workers():
     cluster, leader = busy_cluster()
     also_cut = next(name for name in cluster.nodes if name != leader)
     cut_off(cluster, leader)
@@ -91,45 +92,45 @@
     wait(cluster, 60.0)
     assert fencing_token(cluster) == first + 1
     assert cluster.leader() not in (leader, also_cut)
-    assert len(running(cluster)) == 12
+    assert len(running_tasks(cluster)) == 12
 
 
-def test_answers_and_writes_of_the_leader_before_the_leadership_transfer_are_without_effect():
+def test_late_answers_and_writes_of_the_previous_leader_have_no_effect():
     cluster, leader = busy_cluster(parts=4)
     worker = next(iter(cluster.workers.values()))
-    late_report = worker.heartbeat()
-    late_answer = cluster.nodes[leader].heartbeat(late_report, NEVER)
+    late_heartbeat = worker.heartbeat()
+    late_answer = cluster.nodes[leader].heartbeat(late_heartbeat, NEVER)
     assert late_answer[0] == 200
     cut_off(cluster, leader)
     old = cluster.nodes[leader]
-    while old.scheduler.leader:  # until it hands over, with something decided and not yet written
+    while old.scheduler.leader:  # until the transfer, with placements that are not yet durable
         cluster.submit(leader, cluster.job(100 + len(cluster.accepted), crew="open", parts=1))
         wait(cluster, 0.5, fleet=False)
         assert cluster.clock.now < 1100.0
     wait(cluster, 10.0, fleet=False)
     assert worker.fencing_token > orjson.loads(late_answer[1])["baton"]
-    assert worker.take(late_answer, cluster.clock.now, worker.epoch) == 0, "its token is surpassed"
-    status = old.heartbeat(late_report, NEVER).status
-    assert status in (421, 503), "a report that comes late is not the old owner's to answer"
+    assert worker.take(late_answer, cluster.clock.now, worker.epoch) == 0, "its fencing token is outdated"
+    status = old.heartbeat(late_heartbeat, NEVER).status
+    assert status in (421, 503), "the previous leader does not answer a late heartbeat"
     outcome = old.store.compare_and_swap(
         {records.LEADERSHIP: old.membership.record.version - 1}, [Put("b/probe", 1)]
     )
-    assert not outcome.applied, "a write of the term before names a map that is gone"
+    assert not outcome.applied, "a write of the previous term names an outdated leadership record"
 
 
 @pytest.mark.parametrize(
     ("healed_after_s", "changes"), [(1.0, {0, 1}), (3.0, {0, 1}), (6.0, {0, 1}), (12.0, {1})]
 )
-def test_a_cut_that_heals_in_the_middle(healed_after_s, changes):
+def test_a_partition_that_heals_before_during_or_after_the_transfer(healed_after_s, changes):
     cluster, leader = busy_cluster()
-    before = running(cluster)
+    before = running_tasks(cluster)
     first = fencing_token(cluster)
     cut_off(cluster, leader)
     wait(cluster, healed_after_s)
     cluster.cut.clear()
     wait(cluster, 40.0)
-    assert fencing_token(cluster) - first in changes, "one owner or the other, and no going back and forth"
-    assert running(cluster) == before and cluster.deleted == []
+    assert fencing_token(cluster) - first in changes, "one leader or the other, without alternating"
+    assert running_tasks(cluster) == before and cluster.deleted == []
 
 
 def test_a_leadership_transfer_whose_answer_is_lost_happens_once():
@@ -143,10 +144,10 @@
     cluster.state.lose_answer.clear()
     wait(cluster, 20.0)
     assert fencing_token(cluster) == first + 1
-    assert not cluster.nodes[leader].scheduler.leader and len(running(cluster)) == 12
+    assert not cluster.nodes[leader].scheduler.leader and len(running_tasks(cluster)) == 12
 
 
-def test_controllers_that_each_miss_some_workers_keep_their_leader():
+def test_no_transfer_where_each_controller_is_cut_off_from_some_workers():
     cluster, leader = busy_cluster(parts=24, machines=6)
     first = fencing_token(cluster)
     names = list(cluster.workers)
@@ -154,16 +155,16 @@
         cluster.cut |= {(name, node) for name in missing}
     wait(cluster, 90.0)
     assert fencing_token(cluster) == first and cluster.leader() == leader
-    assert len(running(cluster)) == 24 and cluster.deleted == []
+    assert len(running_tasks(cluster)) == 24 and cluster.deleted == []
 
 
-def test_an_leader_with_one_worker_cut_off_keeps_the_rest():
+def test_a_leader_with_one_worker_cut_off_stays_leader():
     cluster, leader = busy_cluster()
-    lost: Worker = next(iter(cluster.workers.values()))
-    cluster.cut.add((lost.name, leader))
+    unreachable: Worker = next(iter(cluster.workers.values()))
+    cluster.cut.add((unreachable.name, leader))
     first = fencing_token(cluster)
     wait(cluster, 40.0)
-    assert fencing_token(cluster) == first and len(running(cluster)) == 12
+    assert fencing_token(cluster) == first and len(running_tasks(cluster)) == 12
 
 
 @pytest.mark.parametrize(
@@ -179,5 +180,15 @@
         (0, {"gone": 9}, None),
     ],
 )
-def test_the_successor_hears_most_machines_and_the_leader_next_to_none(direct, relayed, expected):
+def test_the_successor_receives_most_heartbeats_and_the_leader_almost_none(direct, relayed, expected):
     assert successor(WorkerContact(direct, relayed), OTHERS) == expected
+
+
+def test_the_leaders_failover_neighbour_should_be_in_the_other_zone():
+    zones = {f"n{n}": "east" if n % 2 else "west" for n in range(7)}
+    assert [name for name in sorted(zones) if lacks_failover_neighbour(name, zones)] == ["n6"], (
+        "n0 is next, and west too"
+    )
+    assert not any(lacks_failover_neighbour(name, {"n0": "a", "n1": "a"}) for name in ("n0", "n1")), (
+        "with one zone it makes no difference"
+    )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,20 +31,20 @@
 LOST = 500
 STEP_S = 0.5
 LEASE_S = 12.0  # of the simulated settings
-TRIES, RETRY_S = 80, 0.05  # together well below the time for which a silent worker's connection is kept
-REPORT_STEPS = 4  # a worker reports every two seconds, as the settings say
+TRIES, RETRY_S = 80, 0.05  # together well below the time for which an idle connection of a worker is kept
+HEARTBEAT_STEPS = 4  # a worker sends a heartbeat every two seconds, as the settings say
 
 
 def pass_scaled(cluster: World, seconds: float, until_running: int | None = None) -> None:
-    """Time passes; of the workers a quarter heartbeats in each half second, each every two seconds."""
+    """Advance the clock; a quarter of the workers sends heartbeats in each half second, each every 2 s."""
     for step in range(int(seconds / STEP_S)):
         cluster.pass_time(STEP_S)
         for n, worker in enumerate(list(cluster.workers.values())):
-            if n % REPORT_STEPS == step % REPORT_STEPS:
+            if n % HEARTBEAT_STEPS == step % HEARTBEAT_STEPS:
                 cluster.wander(worker)
         for name in list(cluster.nodes):
             cluster.step_node(name)
-        if step % REPORT_STEPS == 0:
+        if step % HEARTBEAT_STEPS == 0:
             for name in list(cluster.nodes):
                 cluster.fleet(name)
             cluster.check()
@@ -57,10 +57,10 @@
     return sum(len(worker.running()) for worker in cluster.workers.values())
 
 
-def test_4000_machines_start_change_their_leader_and_lose_500():
+def test_4000_machines_start_get_a_new_leader_and_lose_500():
     cluster = World(nodes=3, value_kb=8.0)
     cluster.pause_s = 0.0005  # 4,000 heartbeats wait for a read each, and their times add up here
-    cluster.capacity = 0  # no more than these, but in the place of some that are deleted
+    cluster.capacity = 0  # no more machines than these, but replacements of deleted ones
     for n in range(MACHINES):
         cluster.machine(zone="north" if n % 2 else "south")
     tasks = MACHINES * CPUS
@@ -69,7 +69,7 @@
         assert cluster.submit("n0", body) == 201
 
     pass_scaled(cluster, 40.0, until_running=tasks)
-    assert running_count(cluster) == tasks, "every machine is used to the full"
+    assert running_count(cluster) == tasks, "every CPU is in use"
     first = cluster.leader()
     assert first is not None
     assert len(cluster.nodes[first].scheduler.state.machines) == MACHINES
@@ -80,7 +80,7 @@
     second = cluster.leader()
     assert second not in (None, first)
     assert {worker.name: sorted(worker.running()) for worker in cluster.workers.values()} == before
-    assert cluster.deleted == [], "a takeover costs no machine"
+    assert cluster.deleted == [], "a failover deletes no machine"
 
     lost = list(cluster.workers.values())[:: MACHINES // LOST]
     assert len(lost) == LOST
@@ -89,39 +89,39 @@
     pass_scaled(cluster, 30.0)
     assert set(cluster.deleted) == {worker.name for worker in lost}
     pass_scaled(cluster, 40.0, until_running=tasks)
-    parts = collections.Counter(
+    task_ids = collections.Counter(
         task_id for worker in cluster.workers.values() for task_id in worker.running()
     )
-    assert len(parts) == tasks and set(parts.values()) == {1}
+    assert len(task_ids) == tasks and set(task_ids.values()) == {1}
     assert len(cluster.workers) == MACHINES
 
 
 class PacedCloud:
-    """A cloud that answers 429 above its rate, with bursts worth two seconds, as its page says."""
+    """A cloud that answers 429 above its rate, with bursts worth two seconds, as its protocol says."""
 
     def __init__(self, rps: float, count: int) -> None:
         self.now = 0.0
         self.rps = rps
-        self.checkpointed = 2.0 * rps
+        self.tokens = 2.0 * rps
         self.filled = 0.0
         self.names = [f"vm-{n:06d}" for n in range(count)]
         self.calls: list[tuple[float, str]] = []
         self.busy = 0
 
     def _enter(self, call: str) -> None:
-        self.checkpointed = min(2.0 * self.rps, self.checkpointed + (self.now - self.filled) * self.rps)
+        self.tokens = min(2.0 * self.rps, self.tokens + (self.now - self.filled) * self.rps)
         self.filled = self.now
-        if self.checkpointed < 1.0:
+        if self.tokens < 1.0:
             self.busy += 1
             raise CloudBusyError("429")
-        self.checkpointed -= 1.0
+        self.tokens -= 1.0
         self.calls.append((self.now, call))
 
     def catalog(self) -> list[MachineType]:
         return []
 
     def launch(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
-        self._enter("rent")
+        self._enter("launch")
         return [f"{request}-{n}" for n in range(count)]
 
     def delete(self, names: list[str]) -> None:
@@ -134,8 +134,8 @@
         return MachinePage(page, len(after) > LIST_PAGE)
 
 
-class SureOwner:
-    """Standing that nobody doubts."""
+class UndisputedLeader:
+    """A leader that is always verified."""
 
     def is_verified_leader(self) -> bool:
         return True
@@ -152,58 +152,58 @@
     def pause(event: threading.Event, seconds: float) -> None:
         cloud.now += seconds
 
-    calls = CloudOperations(
-        cloud, scheduler, SureOwner(), cloud.rps, "r-n0", lambda: cloud.now, pause, lambda: None
+    operations = CloudOperations(
+        cloud, scheduler, UndisputedLeader(), cloud.rps, "r-n0", lambda: cloud.now, pause, lambda: None
     )
-    return scheduler, calls
+    return scheduler, operations
 
 
-def test_the_list_of_4000_machines_keeps_to_the_rate_and_leaves_room_for_rentals():
-    """All pages at once were more than the cloud takes in a burst, so that the list was never read whole."""
+def test_listing_4000_machines_keeps_to_the_rate_and_leaves_some_for_launches():
+    """All pages at once exceeded the cloud's burst, so that the list was never complete."""
     cloud = PacedCloud(rps=3.0, count=MACHINES)
-    scheduler, calls = leader_with_cloud(cloud, World().settings("n0"))
-    order = LaunchRequest("small", "north", True, 50, "backlog")
+    scheduler, operations = leader_with_cloud(cloud, World().settings("n0"))
+    request = LaunchRequest("small", "north", True, 50, "backlog")
     lists = 0
     while cloud.now < 60.0:
-        wait_s = calls.list_step()
+        wait_s = operations.list_step()
         next_list = cloud.now + wait_s
         lists += 1
-        while cloud.now < next_list:  # the thread beside it, which rents as fast as it may
-            calls.launch(order)
+        while cloud.now < next_list:  # another thread, which launches as fast as it may
+            operations.launch(request)
             cloud.now += 0.05
     assert cloud.busy == 0
     assert (
         len([name for name in cloud.names if scheduler.state.machine_names.find(name) is not None])
         == MACHINES
     )
-    assert lists >= 4, "each machine's fate is seen within a quarter of a minute"
+    assert lists >= 4, "the state of each machine is read every quarter of a minute"
     kinds = collections.Counter(kind for _, kind in cloud.calls)
     assert kinds["list"] <= 1.1 * LIST_SHARE * LEADER_SHARE * cloud.rps * cloud.now
-    assert kinds["rent"] >= 60, "the rest of the rate is for the others"
+    assert kinds["launch"] >= 60, "the rest of the rate is for launches"
 
 
-def test_more_rentals_than_the_queue_holds_do_not_hold_up_deletions():
+def test_more_launches_than_the_queue_holds_do_not_delay_deletions():
     cloud = PacedCloud(rps=3.0, count=0)
-    scheduler, calls = leader_with_cloud(cloud, World().settings("n0"))
-    commands = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
-    for order in commands:
-        scheduler.autoscaler._asked_for(scheduler.autoscaler._pool(order), order.count)
-    calls.carry_out(ScalingActions(commands, [Deletion("vm-000001", "idle")]))
-    assert calls.delete(["vm-000001"])
+    scheduler, operations = leader_with_cloud(cloud, World().settings("n0"))
+    requests = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
+    for request in requests:
+        scheduler.autoscaler._asked_for(scheduler.autoscaler._pool(request), request.count)
+    operations.carry_out(ScalingActions(requests, [Deletion("vm-000001", "idle")]))
+    assert operations.delete(["vm-000001"])
     waiting = sum(scheduler.state.launching.values())
-    assert MACHINES <= waiting < 400 * 50, "what the queue did not take is decided anew"
+    assert MACHINES <= waiting < 400 * 50, "launches that the queue did not take are decided again"
 
 
-def test_a_relay_knows_late_copies_of_4000_machines_heartbeats():
+def test_a_relay_recognizes_repeated_heartbeats_of_4000_machines():
     cluster = World(nodes=2)
     relay = cluster.nodes["n1"].relay
     heartbeats = [cluster.machine().heartbeat() for _ in range(MACHINES + 500)]
     assert not any(relay.stale(heartbeat) for heartbeat in heartbeats)
-    assert all(relay.stale(heartbeat) for heartbeat in heartbeats), "each of them was here before"
+    assert all(relay.stale(heartbeat) for heartbeat in heartbeats), "each of them was seen before"
 
 
-def test_a_relay_of_4000_machines_keeps_to_the_rate_and_the_leader_hears_each():
-    """All values at once were refused, again and again, and the pause for so many exceeded a lease."""
+def test_a_relay_of_4000_machines_keeps_to_the_rate_and_passes_each_machine_on():
+    """All values at once were refused repeatedly, and the pause for so many exceeded a lease."""
     cluster = World(nodes=2, value_kb=4.0, writes=15.0)
     relaying = cluster.nodes["n1"]
     cluster.state.write_rps = 15.0
@@ -214,12 +214,12 @@
     rng = random.Random(1)
     for _ in range(60):
         cluster.pass_time(0.5)
-        for worker in fleet[::REPORT_STEPS]:
-            # Its two tasks are others each time.
-            parts = [f"req-{rng.randrange(200):06d}/{rng.randrange(2000)}" for _ in range(2)]
+        for worker in fleet[::HEARTBEAT_STEPS]:
+            # Two different tasks each time.
+            task_ids = [f"req-{rng.randrange(200):06d}/{rng.randrange(2000)}" for _ in range(2)]
             worker.tasks = {
                 (task_id, n): Attempt(task_id, rng.randrange(10**5), "running")
-                for n, task_id in enumerate(parts)
+                for n, task_id in enumerate(task_ids)
             }
             relaying.relay.note(worker.heartbeat())
         fleet = fleet[1:] + fleet[:1]
@@ -231,15 +231,15 @@
                     last_heartbeat_at[heartbeat.machine].append(cluster.clock.now)
     assert cluster.state.too_many == 0
     assert len(seen) > 2 * cluster.state.write_rps, "more values than may be written in two seconds"
-    ends = cluster.clock.now
+    end = cluster.clock.now
     gaps = [
-        max(later - before for before, later in itertools.pairwise([*times, ends]))
+        max(later - before for before, later in itertools.pairwise([*times, end]))
         for times in last_heartbeat_at.values()
     ]
     assert max(gaps) <= LEASE_S
 
 
-def test_searches_for_tasks_to_stop_go_through_a_large_fleet_and_stop_in_proportion():
+def test_preemption_in_a_large_fleet_covers_it_and_stops_tasks_in_proportion():
     cluster = World(value_kb=8.0)
     cluster.pause_s = 0.0005
     node = cluster.nodes["n0"]
@@ -266,17 +266,17 @@
     assert share > scheduler.policy.preempt_per_round
     assert all(share <= stopped < share + CPUS for stopped in stops)
     stopped_on = {placement.machine for placement in scheduler.state.stopping}
-    parts = {index * 3 // machines for index in stopped_on}
-    assert parts == {0, 1, 2}, "no part of the fleet is spared"
+    thirds = {index * 3 // machines for index in stopped_on}
+    assert thirds == {0, 1, 2}, "tasks of every third of the fleet are preempted"
 
 
-def test_a_fleet_of_more_machines_than_connections_takes_turns():
-    """Workers kept their connections: those which came last were turned away until a lease ran out."""
-    most, clients = 8, 40
+def test_more_workers_than_connections_are_all_answered_in_turn():
+    """Workers kept their connections: the last ones were refused until a lease expired."""
+    max_connections, clients = 8, 40
     cluster = World()
     cluster.step()
-    front = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
-    server = HttpServer("127.0.0.1", 0, front.handle, most, "front")
+    handler = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
+    server = HttpServer("127.0.0.1", 0, handler.handle, max_connections, "front")
     server.start()
     connections: dict[int, socket.socket] = {}
 
@@ -314,8 +314,8 @@
         return answer.startswith(b"HTTP/1.1 200")
 
     def answered_soon(number: int, sequence: int) -> bool:
-        """As workers do, it tries again where it was turned away: a connection that was closed counts until
-        its thread has ended. Not for so long that the server would close idle connections of others."""
+        """Whether it is answered within some tries, as workers retry: a closed connection counts until its
+        thread has ended. Not for so long that the server would close idle connections of others."""
         for _ in range(TRIES):
             if heartbeat(number, sequence):
                 return True
@@ -326,6 +326,6 @@
         assert all(answered_soon(number, sequence) for number in range(clients)), (
             "each is answered in each turn"
         )
-    assert 0 < len(connections) < most, "as many as may keep theirs do"
+    assert 0 < len(connections) < max_connections, "as many as allowed keep theirs"
     for sock in connections.values():
         sock.close()
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,17 +1,18 @@
-"""Load spread: the pure decisions over random fleets, and the leader's moves in the simulated cluster."""
+"""Load spread: decisions over random fleets, and the leader's migrations in the simulated cluster."""
 
 import dataclasses
 import random
+from typing import Any
 
 import pytest
+from cluster_helpers import idle_cluster, running_tasks, wait
 from hypothesis import given
 from hypothesis import strategies as st
-from test_room_index import CPUS, indexed, jobs, machines, make_job
-from test_stories import quiet, running, wait
+from test_capacity_index import CPUS, indexed, jobs, machines, make_job
 from world import LIMITS, World
 
 from bayford.scheduling import placement_rules, tempered
-from bayford.scheduling.model import Machine, MachineType, Placement
+from bayford.scheduling.model import Job, Machine, MachineType, Placement
 from bayford.scheduling.policy import Policy
 from bayford.scheduling.tempered import Counts, Host, Item
 from bayford.spread.machine_snapshot import picture
@@ -28,20 +29,21 @@
 # -- choosing machines
 
 
-def choose(job, fleet: list[Machine], count: int, weights: Weights) -> list[Machine]:
-    """Machines for so many tasks, each booked before the next is chosen."""
+def choose(job: Job, fleet: list[Machine], count: int, weights: Weights) -> list[Machine]:
+    """Machines for `count` tasks; each is reserved before the next is chosen."""
     average = 1.0 - sum(m.free_cpus for m in fleet) / sum(m.cpus for m in fleet)
     chooser = Chooser(job, fleet, average, weights, lambda machine: FETCH_S)
-    out = []
-    while len(out) < count and (choice := chooser.next()) is not None:
+    chosen = []
+    while len(chosen) < count and (choice := chooser.next()) is not None:
         choice.machine.reserve(job.spec)
         choice.machine.images.setdefault(job.image, False)
-        out.append(choice.machine)
+        chosen.append(choice.machine)
         chooser.placed(choice)
-    return out
+    return chosen
 
 
 def idle_machines(count: int) -> list[Machine]:
+    """Machines without tasks and images, in two zones."""
     return [
         Machine(
             n,
@@ -59,18 +61,18 @@
 
 
 @given(st.lists(machines, min_size=1, max_size=30), jobs, st.integers(1, 20))
-def test_no_choice_exceeds_a_resource_or_goes_where_the_job_may_not(fleet, job, count):
-    room = indexed(fleet)
+def test_chosen_machines_are_eligible_and_have_capacity(fleet, job, count):
+    capacity_index = indexed(fleet)
 
     def may_take(machine: Machine) -> bool:
         return placement_rules.eligible(job, machine, {}, 0.0)
 
-    candidates = room.least_loaded(job, count, may_take)
+    candidates = capacity_index.least_loaded(job, count, may_take)
     chosen = choose(job, candidates, count, Weights()) if candidates else []
     assert all(may_take(machine) for machine in chosen)
     assert all(m.free_cpus >= -1e-6 and m.free_mem >= -1e-6 for m in fleet)
     fits = [m for m in fleet if may_take(m) and m.has_room(job.spec)]
-    assert len(chosen) == count or not fits, "room that is left is used"
+    assert len(chosen) == count or not fits, "remaining capacity is used"
 
 
 @pytest.mark.parametrize(
@@ -85,7 +87,7 @@
         (Weights(fetch=10.0, load_s=10.0), True),
     ],
 )
-def test_a_busy_machine_with_the_image_against_an_idle_one(weights, holder_wins):
+def test_the_weights_decide_between_a_busy_machine_with_the_image_and_an_idle_one(weights, holder_wins):
     busy, idle = idle_machines(2)
     busy.images[1] = True
     busy.free_cpus = 0.25 * CPUS
@@ -93,8 +95,8 @@
     assert chosen == [busy if holder_wins else idle]
 
 
-def test_equal_load_and_one_hot_image():
-    """The machines with the image fill up to where a fetch costs less than the load, not to the brim."""
+def test_machines_with_a_popular_image_get_more_load_but_are_not_filled():
+    """They are filled up to where a fetch costs less than their load."""
     fleet = idle_machines(20)
     for machine in fleet[:3]:
         machine.images[1] = True
@@ -102,11 +104,11 @@
     choose(job, fleet, 40, Weights())
     loads = [1.0 - m.free_cpus / m.cpus for m in fleet]
     assert max(loads) <= 2.0 * sum(loads) / len(loads)
-    assert min(loads[:3]) > sum(loads[3:]) / len(loads[3:]), "yet they get more than the others"
+    assert min(loads[:3]) > sum(loads[3:]) / len(loads[3:]), "they get more than the others"
 
 
-def test_all_images_cold_after_a_zone_returns():
-    """Nobody holds anything: no machine fetches for all, and the same ones are chosen again and again."""
+def test_without_cached_images_the_choice_is_repeatable_and_spread():
+    """As after the return of a zone: no machine fetches for all, and the same ones are chosen each time."""
     first = choose(make_job(1, 1.0, 1.0, None, True), idle_machines(12), 6, Weights())
     again = choose(make_job(1, 1.0, 1.0, None, True), idle_machines(12), 6, Weights())
     assert [m.name for m in first] == [m.name for m in again]
@@ -114,42 +116,43 @@
 
 
 @given(st.sets(st.integers(0, 500), min_size=2, max_size=30), st.text(max_size=8))
-def test_the_machine_of_an_image_changes_only_with_the_machine(numbers, image):
+def test_the_preferred_machine_of_an_image_changes_only_if_it_is_removed(numbers, image):
     names = [f"vm-{n}" for n in sorted(numbers)]
     best = max(names, key=lambda name: rendezvous(image, name))
     for deleted_machines in names:
         if deleted_machines != best:
-            left = [name for name in names if name != deleted_machines]
-            assert max(left, key=lambda name: rendezvous(image, name)) == best
+            remaining = [name for name in names if name != deleted_machines]
+            assert max(remaining, key=lambda name: rendezvous(image, name)) == best
 
 
-# -- plans of moves
+# -- migration plans
 
 
 @st.composite
-def hosts(draw) -> list[Host]:
-    out = []
+def hosts(draw: st.DrawFn) -> list[Host]:
+    """Machines with tasks, as `rebalance` takes them."""
+    drawn = []
     for index in range(draw(st.integers(2, 8))):
         cpus = draw(st.sampled_from([4.0, 8.0]))
         tasks = draw(st.lists(st.sampled_from([0.5, 1.0, 2.0]), max_size=int(cpus / 2)))
         items = [Item((f"req-{index}/{n}", 1), (need, 0.0, need)) for n, need in enumerate(tasks)]
         free = cpus - sum(tasks)
-        out.append(Host(index, cpus, (free, 0.0, free), items))
-    return out
+        drawn.append(Host(index, cpus, (free, 0.0, free), items))
+    return drawn
 
 
 @given(hosts(), st.integers(0, 6), st.sampled_from([1.0, 1.5, 2.0]), st.integers(0, 1000))
-def test_a_plan_moves_each_task_once_within_the_budget_and_lowers_the_highest_load(
-    fleet, most, threshold, seed
+def test_a_plan_migrates_each_task_once_within_the_budget_and_lowers_the_highest_load(
+    fleet, max_moves, threshold, seed
 ):
     before = {host.index: (host.free, list(host.items)) for host in fleet}
-    plan = rebalance(fleet, threshold, Counts(4, 3, most), lambda key, target: True, random.Random(seed))
+    plan = rebalance(fleet, threshold, Counts(4, 3, max_moves), lambda key, target: True, random.Random(seed))
     assert {host.index: (host.free, host.items) for host in fleet} == before, "trials change nothing"
     if plan is None:
         return
-    assert 0 < len(plan.relocations) <= most
+    assert 0 < len(plan.relocations) <= max_moves
     keys = [relocation.key for relocation in plan.relocations]
-    assert len(set(keys)) == len(keys), "no task goes from A to B and on, or back"
+    assert len(set(keys)) == len(keys), "no task is migrated twice"
     loads = first = {host.index: host.load for host in fleet}
     by_index = {host.index: host for host in fleet}
     for relocation in plan.relocations:
@@ -172,8 +175,8 @@
 
 
 @given(hosts(), st.integers(0, 50))
-def test_moves_come_to_an_end(fleet, seed):
-    """No two moves chase each other: applied plan after plan, the fleet settles."""
+def test_successive_plans_come_to_an_end(fleet, seed):
+    """No migration undoes another: with plan after plan applied, the fleet settles."""
     rng = random.Random(seed)
     by_index = {host.index: host for host in fleet}
     for _ in range(200):
@@ -190,11 +193,11 @@
                 tempered.sub(target.free, item.need),
             )
     else:
-        pytest.fail("moves go on for ever")
+        pytest.fail("no end of migrations")
 
 
-def test_of_machines_that_are_loaded_alike_a_small_budget_relieves_one_after_the_other():
-    """The highest load stays until the last of them is relieved: judged by that alone nothing ever moved."""
+def test_a_small_budget_relieves_equally_loaded_machines_one_after_the_other():
+    """The highest load falls only with the last of them: judged by that alone, no plan was made."""
     fleet = [
         Host(n, 4.0, (0.0, 0.0, 0.0), [Item((f"req-{n}/{t}", 1), (1.0, 0.0, 1.0)) for t in range(4)])
         for n in range(3)
@@ -204,11 +207,11 @@
     assert plan is not None and len(plan.relocations) == 1
 
 
-def test_where_no_move_helps_none_is_made():
-    one_each = [Host(n, 4.0, (3.0, 0.0, 3.0), [Item((f"req-{n}/0", 1), (1.0, 0.0, 1.0))]) for n in range(4)]
-    lone = [Host(n, 4.0, (4.0, 0.0, 4.0), []) for n in range(3)]
-    lone.append(Host(3, 4.0, (0.0, 0.0, 0.0), [Item(("req-9/0", 1), (4.0, 0.0, 4.0))]))
-    for fleet in (one_each, lone):
+def test_no_plan_where_no_migration_helps():
+    balanced = [Host(n, 4.0, (3.0, 0.0, 3.0), [Item((f"req-{n}/0", 1), (1.0, 0.0, 1.0))]) for n in range(4)]
+    one_large = [Host(n, 4.0, (4.0, 0.0, 4.0), []) for n in range(3)]
+    one_large.append(Host(3, 4.0, (0.0, 0.0, 0.0), [Item(("req-9/0", 1), (4.0, 0.0, 4.0))]))
+    for fleet in (balanced, one_large):
         for seed in range(20):
             assert rebalance(fleet, 1.0, Counts(4, 3, 4), lambda k, t: True, random.Random(seed)) is None
 
@@ -217,9 +220,9 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.booleans()), max_size=40), st.integers(0, 3))
-def test_no_task_is_restarted_more_often_than_allowed_whoever_counts(events, limit):
+def test_no_task_is_restarted_more_often_than_allowed_across_failovers(events, limit):
     budget = RestartBudget({"sweep": limit}, 9)
-    moved = dict.fromkeys(range(4), 0)
+    restarts_of = dict.fromkeys(range(4), 0)
     for task, takeover in events:
         if takeover and budget.knows("req-1"):
             stored = budget.encode("req-1")
@@ -227,21 +230,21 @@
             budget.load("req-1", stored)
         if budget.allows("req-1", "sweep", task):
             budget.note("req-1", task)
-            moved[task] += 1
-    assert max(moved.values()) <= limit
+            restarts_of[task] += 1
+    assert max(restarts_of.values()) <= limit
 
 
 @pytest.mark.parametrize(
     "stored", [None, 3, {"v": 2, "t": []}, {"v": 1, "t": [[0, "x"]]}, {"v": 1, "t": [[0, -1]]}]
 )
-def test_counts_that_cannot_be_read_allow_no_move(stored):
+def test_unreadable_restart_counts_allow_no_migration(stored):
     budget = RestartBudget({}, 5)
     with pytest.raises(UnreadableCountsError):
         budget.load("req-1", stored)
     assert not budget.allows("req-1", "sweep", 0) and budget.allows("req-2", "sweep", 0)
 
 
-def test_counts_that_do_not_fit_a_value_allow_no_more_tasks():
+def test_restart_counts_that_fill_a_value_allow_no_more_tasks():
     budget = RestartBudget({}, 1, value_bytes=384)
     task = 0
     while budget.allows("req-1", "sweep", 10**5 - task):
@@ -250,35 +253,37 @@
     assert task > 10 and records.size(budget.encode("req-1")) <= 384
 
 
-# -- the leader's moves
+# -- the leader's migrations
 
 
-def uneven(tasks: int = 4, nodes: int = 1, **job) -> World:
-    """Four machines of which the first has all the work, and a leader that spreads load."""
-    cluster = quiet(machines=4, nodes=nodes, policy=PACKED)
+def unbalanced_cluster(tasks: int = 4, nodes: int = 1, **job: Any) -> World:
+    """Four machines, one of which runs all tasks of job 1, and a leader that spreads load."""
+    cluster = idle_cluster(machines=4, nodes=nodes, policy=PACKED)
     fields = {"crew": "open", "parts": tasks, "bookmark_s": 5.0, "stash_s": 1.0, "guess_s": 900.0} | job
     cluster.submit("n0", cluster.job(1, **fields))
     wait(cluster, 4.0, fleet=False)
-    assert sorted(len(w.running()) for w in cluster.workers.values()) == [0, 0, 0, tasks]
+    assert sorted(len(worker.running()) for worker in cluster.workers.values()) == [0, 0, 0, tasks]
     cluster.policy = SPREAD
     for node in cluster.nodes.values():
         node.scheduler.state.policy = SPREAD
     return cluster
 
 
-def loads(cluster: World) -> list[int]:
+def task_counts(cluster: World) -> list[int]:
+    """The number of tasks on each machine, in ascending order."""
     return sorted(len(worker.running()) for worker in cluster.workers.values())
 
 
 def restarts(cluster: World) -> dict[str, int]:
+    """How often each task was started again."""
     return {task_id: len(workers) - 1 for task_id, workers in cluster.starters.items()}
 
 
-def test_running_work_leaves_an_overloaded_machine_and_each_task_moves_once():
-    cluster = uneven()
+def test_running_tasks_leave_an_overloaded_machine_and_migrate_at_most_once():
+    cluster = unbalanced_cluster()
     wait(cluster, 120.0, fleet=False)
-    assert loads(cluster)[-1] <= 2, "at most twice the average"
-    assert len(running(cluster)) == 4
+    assert task_counts(cluster)[-1] <= 2, "at most twice the average"
+    assert len(running_tasks(cluster)) == 4
     assert max(restarts(cluster).values()) == 1 and sum(restarts(cluster).values()) <= 3
     stored = cluster.state.rows[records.migration_counts_key("req-000001")][0]
     assert sum(count for _, count in stored["t"]) == sum(restarts(cluster).values())
@@ -287,40 +292,40 @@
 @pytest.mark.parametrize(
     "job",
     [
-        {"bookmark_s": 0.0},  # it can't save
+        {"bookmark_s": 0.0},  # it takes no checkpoints
         {"guess_s": 12.0},  # it ends soon
     ],
 )
-def test_work_that_would_lose_or_gain_nothing_stays(job):
-    cluster = uneven(**job)
+def test_tasks_without_checkpoints_or_near_their_end_are_not_migrated(job):
+    cluster = unbalanced_cluster(**job)
     before = {worker.name: worker.running() for worker in cluster.workers.values()}
     wait(cluster, 60.0, fleet=False)
     assert {worker.name: worker.running() for worker in cluster.workers.values()} == before
 
 
-def test_a_class_that_allows_the_loss_is_moved():
-    cluster = uneven(bookmark_s=0.0, guess_s=9000.0)
+def test_tasks_of_a_lossy_class_are_migrated_without_checkpoints():
+    cluster = unbalanced_cluster(bookmark_s=0.0, guess_s=9000.0)
     cluster.nodes["n0"].scheduler.state.policy = dataclasses.replace(SPREAD, spread_lossy=("sweep",))
     wait(cluster, 60.0, fleet=False)
-    assert loads(cluster)[-1] <= 2
+    assert task_counts(cluster)[-1] <= 2
 
 
-def test_a_class_without_restarts_is_not_moved():
-    cluster = uneven()
+def test_tasks_of_a_class_without_restarts_are_not_migrated():
+    cluster = unbalanced_cluster()
     cluster.policy = dataclasses.replace(SPREAD, spread_restarts={"sweep": 0})
     cluster.boot("n0")
     wait(cluster, 60.0, fleet=False)
-    assert loads(cluster) == [0, 0, 0, 4]
+    assert task_counts(cluster) == [0, 0, 0, 4]
 
 
-def test_leaders_that_follow_one_another_restart_no_task_more_often_than_allowed(caplog):
-    cluster = uneven(nodes=3)
+def test_successive_leaders_restart_no_task_more_often_than_allowed(caplog):
+    cluster = unbalanced_cluster(nodes=3)
     with caplog.at_level("INFO", logger="bayford.spread"):
         for _ in range(8):
             wait(cluster, 40.0, fleet=False)
             cluster.boot(cluster.leader() or "n0")
             wait(cluster, 8.0, fleet=False)
-            # What runs elsewhere is lost and comes together on one machine again: always work to move.
+            # Tasks of all machines but one are lost and placed on that one again: always a reason to migrate.
             scheduler = cluster.nodes[cluster.leader() or "n0"].scheduler
             scheduler.state.policy = PACKED
             first, *others = sorted(cluster.workers.values(), key=lambda worker: -len(worker.running()))
@@ -329,12 +334,12 @@
                 worker.epoch += 1
             wait(cluster, 4.0, fleet=False)
             scheduler.state.policy = SPREAD
-    moved = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("moving ")]
-    assert moved and len(set(moved)) == len(moved), "each task once, whoever the owner is"
+    migrated = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("moving ")]
+    assert migrated and len(set(migrated)) == len(migrated), "each task once, across all leaders"
 
 
-def moving(cluster: World) -> Placement:
-    """Until a move has been decided, and nothing of it is written yet; the task that it concerns."""
+def decide_migration(cluster: World) -> Placement:
+    """Advance until a migration is decided and not yet written; the placement that it concerns."""
     scheduler = cluster.nodes["n0"].scheduler
     for _ in range(120):
         cluster.pass_time(0.5)
@@ -343,33 +348,33 @@
         scheduler.round()
         if scheduler.state.uncounted_migrations:
             return scheduler.state.uncounted_migrations["req-000001"][0].placement
-    pytest.fail("nothing is moved")
+    pytest.fail("no migration was decided")
 
 
 @pytest.mark.parametrize("counted", [False, True])
-@pytest.mark.parametrize("trouble", ["done", "cancelled", "target", "owner"])
-def test_a_move_that_is_overtaken(trouble, counted):
-    """Its task ends by itself, is cancelled, its target vanishes, or the leader ends, before or after the
-    move is durable and the task told to stop."""
-    cluster = uneven()
-    placement = moving(cluster)
+@pytest.mark.parametrize("event", ["done", "cancelled", "target", "leader"])
+def test_a_migration_that_is_overtaken_by_an_event(event, counted):
+    """Its task completes or is cancelled, its target is deleted, or the leader ends, before or after the
+    migration is durable and the stop command sent."""
+    cluster = unbalanced_cluster()
+    placement = decide_migration(cluster)
     node = cluster.nodes["n0"]
     target = node.scheduler.state.uncounted_migrations["req-000001"][0].target
     if counted:
         node.commit_once()
         assert placement.stopping and node.scheduler.state.moves >= 1
-    if trouble == "done":
+    if event == "done":
         cluster.finish(placement.task_id)
         for worker in cluster.workers.values():
             cluster.heartbeat(worker, "n0")
-    elif trouble == "cancelled":
+    elif event == "cancelled":
         assert cluster.cancel("n0", "req-000001") == "aborted"
-    elif trouble == "target":
+    elif event == "target":
         cluster.execute_delete([node.scheduler.state.machine_names[target]])
         node.scheduler.deleted([node.scheduler.state.machine_names[target]])
     else:
         cluster.boot("n0")
-    if trouble != "owner" and not counted:
+    if event != "leader" and not counted:
         before = node.scheduler.state.moves, set(node.scheduler.state.stopping)
         node.watch_cache.pull(0.0)
         node.commit_once()
@@ -380,30 +385,30 @@
         assert placement.stop_grace_s == 0.0
     wait(cluster, 60.0)
     assert not cluster.nodes["n0"].scheduler.state.stopping
-    if trouble == "cancelled":
-        assert running(cluster) == []
+    if event == "cancelled":
+        assert running_tasks(cluster) == []
         return
-    left = {f"req-000001/{n}" for n in range(4)} - cluster.done_tasks
-    assert set(running(cluster)) == left and len(running(cluster)) == len(left)
+    remaining = {f"req-000001/{n}" for n in range(4)} - cluster.done_tasks
+    assert set(running_tasks(cluster)) == remaining and len(running_tasks(cluster)) == len(remaining)
     assert restarts(cluster)[placement.task_id] <= 1
-    if trouble == "done":
-        for task_id in left:
+    if event == "done":
+        for task_id in remaining:
             cluster.finish(task_id)
         wait(cluster, 10.0, fleet=False)
         assert cluster.query("n0", "req-000001") == "done"
 
 
-def test_nothing_is_moved_for_balance_while_work_waits_for_room():
-    cluster = uneven()
+def test_no_migration_while_a_task_waits_for_capacity():
+    cluster = unbalanced_cluster()
     cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
     wait(cluster, 40.0, fleet=False)
     assert cluster.nodes["n0"].scheduler.state.moves == 0
     assert cluster.nodes["n0"].scheduler.state.jobs["req-000002"].waiting == [0]
 
 
-def test_room_that_is_meant_for_moved_work_is_kept_and_for_one_job_alone():
-    """Of two jobs whose room was each other's, the second found its own taken and came back."""
-    cluster = uneven(tasks=2)
+def test_capacity_for_a_migrating_task_is_reserved_for_its_job_alone():
+    """Where two jobs shared a reservation, the second found it used and was placed where it had been."""
+    cluster = unbalanced_cluster(tasks=2)
     scheduler = cluster.nodes["n0"].scheduler
     scheduler.state.policy = PACKED
     cluster.submit("n0", cluster.job(2, crew="open", bookmark_s=5.0, stash_s=1.0, guess_s=900.0))
@@ -421,47 +426,49 @@
     assert not placement_rules.eligible(second, target, {}, cluster.clock.now)
 
 
-def test_no_team_limit_is_exceeded_where_load_is_spread():
-    cluster = quiet(machines=6, policy=SPREAD)
+def test_no_team_limit_is_exceeded_with_load_spread():
+    cluster = idle_cluster(machines=6, policy=SPREAD)
     for number in range(4):
         cluster.submit("n0", cluster.job(number, parts=6))
     wait(cluster, 10.0, fleet=False)
-    assert len(running(cluster)) == LIMITS["red"]
+    assert len(running_tasks(cluster)) == LIMITS["red"]
 
 
-def test_counts_of_jobs_that_are_over_are_deleted():
-    cluster = uneven()
-    moving(cluster)
+def test_restart_counts_of_ended_jobs_are_deleted():
+    cluster = unbalanced_cluster()
+    decide_migration(cluster)
     wait(cluster, 10.0, fleet=False)
     assert records.migration_counts_key("req-000001") in cluster.state.rows
     cluster.cancel("n0", "req-000001")
     wait(cluster, 5.0, fleet=False)
-    cluster.submit("n0", cluster.job(2, crew="open"))  # something to write them off with
+    cluster.submit("n0", cluster.job(2, crew="open"))  # a change with which the counts are deleted
     wait(cluster, 5.0, fleet=False)
     assert records.migration_counts_key("req-000001") not in cluster.state.rows
 
 
-@pytest.mark.parametrize("looks", ["noticed", "silent", "deaf", "refusing", "relayed", "giving back"])
-def test_a_machine_that_only_looks_idle_takes_no_moved_work(looks):
+@pytest.mark.parametrize(
+    "condition", ["noticed", "silent", "unresponsive", "refusing", "relayed", "deleting"]
+)
+def test_an_idle_machine_in_such_a_condition_is_no_migration_target(condition):
     machine = idle_machines(1)[0]
     machine.registered, machine.last_heartbeat_at = True, 100.0
     assert picture(machine, 101.0).accepts(5.0)
     change = {
         "noticed": {"reclaim_at": 130.0},
         "silent": {"last_heartbeat_at": 90.0},
-        "deaf": {"token_acknowledged": False},
+        "unresponsive": {"token_acknowledged": False},
         "refusing": {"backoff_until": 102.0},
         "relayed": {"relay": "n2"},
-        "giving back": {"deleting": True},
-    }[looks]
+        "deleting": {"deleting": True},
+    }[condition]
     for name, value in change.items():
         setattr(machine, name, value)
     assert not picture(machine, 101.0).accepts(5.0)
 
 
-def test_a_hint_counts_although_the_image_is_on_many_machines():
-    """The pass over machines with the image took the hint and dropped it: the task came straight back."""
-    cluster = quiet(machines=4, policy=PACKED)
+def test_a_placement_hint_has_priority_over_machines_with_the_image():
+    """The search of machines with the image dropped the hint: the task was placed where it had been."""
+    cluster = idle_cluster(machines=4, policy=PACKED)
     scheduler = cluster.nodes["n0"].scheduler
     cluster.submit("n0", cluster.job(1, crew="open", parts=1))
     cluster.nodes["n0"].watch_cache.pull(0.0)
@@ -474,10 +481,10 @@
     assert job.open[0].machine == target
 
 
-def test_a_late_heartbeat_is_no_reason_to_move_work_there():
-    cluster = uneven()
+def test_machines_with_late_heartbeats_are_no_migration_targets():
+    cluster = unbalanced_cluster()
     for worker in list(cluster.workers.values()):
-        worker.mute = not worker.running()  # the idle ones fall silent
+        worker.mute = not worker.running()  # the idle machines send no heartbeats
     for _ in range(8):
         cluster.pass_time(1.0)
         for worker in cluster.workers.values():
@@ -486,11 +493,13 @@
     assert cluster.nodes["n0"].scheduler.state.moves == 0
 
 
-def test_a_machine_whose_type_the_catalog_lacks_takes_no_part_and_is_named_once(caplog):
-    cluster = uneven()
-    stranger = cluster.machine()
-    stranger.kind = MachineType("odd", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north",))
+def test_a_machine_of_an_unlisted_type_gets_no_work_and_is_logged_once(caplog):
+    cluster = unbalanced_cluster()
+    unlisted_machine = cluster.machine()
+    unlisted_machine.kind = MachineType("odd", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north",))
     with caplog.at_level("ERROR", logger="bayford.spread"):
         wait(cluster, 40.0, fleet=False)
-    named = [r for r in caplog.records if stranger.name in r.getMessage() and "catalog" in r.getMessage()]
-    assert len(named) == 1 and stranger.running() == []
+    messages = [
+        r for r in caplog.records if unlisted_machine.name in r.getMessage() and "catalog" in r.getMessage()
+    ]
+    assert len(messages) == 1 and unlisted_machine.running() == []
--- /dev/null
+++ b/tests/test_transport.py
@@ -0,0 +1,112 @@
+"""The HTTP server and the limit on concurrent requests."""
+
+import socket
+import threading
+
+import orjson
+from world import World
+
+from bayford.clock import NEVER
+from bayford.protocol import workers
+from bayford.transport.concurrency_limit import ConcurrencyLimit
+from bayford.transport.http_handlers import UserHandler
+from bayford.transport.http_server import HttpServer, Request, Response
+
+
+def exchange(port: int, raw: bytes) -> bytes:
+    """All that the server sends in answer to these bytes, after which nothing more is sent to it."""
+    with socket.create_connection(("127.0.0.1", port), timeout=5) as sock:
+        sock.sendall(raw)
+        sock.shutdown(socket.SHUT_WR)
+        answer = b""
+        while True:
+            received = sock.recv(65536)
+            if not received:
+                return answer
+            answer += received
+
+
+def test_the_concurrency_limit_falls_when_requests_get_slower_and_rises_again():
+    now = [0.0]
+    limit = ConcurrencyLimit(start=32.0, window=20, clock=lambda: now[0])
+
+    def burst(seconds: float, count: int) -> None:
+        for _ in range(count):
+            waiting = [limit.enter() for _ in range(limit.limit)]
+            assert all(entry.__enter__() for entry in waiting)
+            with limit.enter() as entered:
+                assert not entered, "over the limit: refused at once"
+            now[0] += seconds
+            for entry in waiting:
+                entry.__exit__(None, None, None)
+
+    burst(0.03, 5)
+    fast = limit.limit
+    assert fast > 32
+    burst(0.5, 6)
+    slow = limit.limit
+    assert slow < fast / 2
+    burst(0.03, 8)
+    assert limit.limit > slow
+
+
+def test_the_server_refuses_malformed_requests_and_keeps_connections():
+    def handle(request: Request) -> Response:
+        return Response(200, request.body or request.path.encode())
+
+    server = HttpServer("127.0.0.1", 0, handle, 8, "test")
+    server.start()
+    two_requests = b"GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"
+    answer = exchange(server.port, two_requests)
+    assert answer.count(b"200 OK") == 2 and answer.endswith(b"hi")
+    chunked = b"POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
+    assert exchange(server.port, chunked).endswith(b"abc")
+    assert b" 413 " in exchange(server.port, b"POST /b HTTP/1.1\r\nContent-Length: 70000\r\n\r\n")
+    assert b" 400 " in exchange(server.port, b"nonsense\r\n\r\n")
+    assert b" 431 " in exchange(server.port, b"GET /" + b"a" * 9000)
+    incomplete = b"POST /b HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc"
+    assert exchange(server.port, incomplete) == b"", "an incomplete body gets no answer"
+    assert threading.active_count() < 20
+
+
+def test_under_load_users_do_not_keep_connections_and_stale_ones_of_workers_close_soon():
+    """Kept for 40 s, the connections from before a partition hindered a fleet that came back."""
+    cluster = World()
+    handler = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
+    server = HttpServer("127.0.0.1", 0, handler.handle, 4, "test")
+    server.start()
+    query = b"GET /api/jobs/req-000001 HTTP/1.1\r\n\r\n"
+
+    def connect() -> socket.socket:
+        return socket.create_connection(("127.0.0.1", server.port), timeout=5)
+
+    def answer(sock: socket.socket) -> bytes:
+        sock.sendall(query)
+        return sock.recv(65536)
+
+    with connect() as first, connect() as second, connect() as third:
+        for sock in (first, second, third):
+            assert b"Connection: close" not in answer(sock), "few connections, so this one is kept"
+        with connect() as fourth:
+            assert b"Connection: close" in answer(fourth) and fourth.recv(1) == b""
+        assert b"Connection: close" not in answer(first), "few connections again"
+    facts = cluster.settings("n0").facts.workers
+    heartbeat = orjson.dumps(
+        {
+            "dock": "vm-000001",
+            "addr": "10.1.0.1:9000",
+            "build": "small",
+            "yard": "north",
+            "loaners": True,
+            "shift": 1,
+            "tick": 1,
+            "baton": 0,
+            "recall_s": None,
+            "parts": [],
+        }
+    )
+    response = handler.handle(Request("POST", workers.HEARTBEAT_PATH, heartbeat, NEVER))
+    assert (
+        response.status in (200, 421, 503)
+        and 1.25 * facts.heartbeat_interval_s + 4.0 < response.idle_s < facts.lease_s
+    )
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -2,6 +2,7 @@
 
 import pytest
 from cluster_helpers import running_tasks, wait
+from world import World
 from zone_helpers import (
     RECOVERY_POLICY,
     cut_zone_off,
@@ -20,8 +21,12 @@
 from bayford.scheduling import scaling
 
 
-def test_a_lost_zone_gets_no_work_and_every_task_has_one_outcome():
-    cluster = recovery_cluster()
+@pytest.fixture(name="cluster")
+def _cluster() -> World:
+    return recovery_cluster()
+
+
+def test_a_lost_zone_gets_no_work_and_every_task_has_one_outcome(cluster):
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 8.0)
@@ -42,8 +47,7 @@
     assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
 
 
-def test_a_suspect_zone_gets_no_work_and_a_returning_one_only_on_verified_machines():
-    cluster = recovery_cluster()
+def test_a_suspect_zone_gets_no_work_and_a_returning_one_only_on_verified_machines(cluster):
     cut_zone_off(cluster)
     wait(cluster, 7.0)
     assert zone_state(cluster) == "suspect"
@@ -73,8 +77,7 @@
     assert len(running_in_zone(cluster)) == 2
 
 
-def test_only_a_few_machines_are_launched_into_a_zone_without_heartbeats():
-    cluster = recovery_cluster()
+def test_only_a_few_machines_are_launched_into_a_zone_without_heartbeats(cluster):
     scheduler = cluster.nodes[cluster.leader()].scheduler
     scheduler.state.returning_zones = frozenset({scheduler.state.zones.find("south")})
     deleted_machines = [
@@ -121,8 +124,7 @@
     ]
 
 
-def test_a_job_cancelled_during_the_partition_does_not_run_again():
-    cluster = recovery_cluster()
+def test_a_job_cancelled_during_the_partition_does_not_run_again(cluster):
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 22.0)
@@ -135,9 +137,8 @@
 
 
 @pytest.mark.parametrize("when", ["before", "during", "after"])
-def test_a_task_that_ends_on_a_machine_that_was_declared_lost(when):
+def test_a_task_that_ends_on_a_machine_that_was_declared_lost(cluster, when):
     """Its heartbeat arrives before the task is requeued, while it waits, or after another attempt's end."""
-    cluster = recovery_cluster()
     lost_tasks = fill_with_one_job(cluster)
     task_id = lost_tasks[0]
     worker = next(worker for worker in cluster.workers.values() if task_id in worker.running())
@@ -169,8 +170,7 @@
     assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
 
 
-def test_late_copies_of_heartbeats_after_the_return_change_nothing():
-    cluster = recovery_cluster()
+def test_late_copies_of_heartbeats_after_the_return_change_nothing(cluster):
     fill_with_one_job(cluster)
     copies = [worker.heartbeat() for worker in cluster.workers.values()]
     cut_zone_off(cluster)
@@ -186,8 +186,7 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
 
 
-def test_a_failover_while_a_zone_returns():
-    cluster = recovery_cluster()
+def test_a_failover_while_a_zone_returns(cluster):
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 22.0)
@@ -206,9 +205,8 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
-def test_tasks_that_ended_between_two_leaders_are_counted_as_over():
+def test_tasks_that_ended_between_two_leaders_are_counted_as_over(cluster):
     """They were counted as cancelled, since their job was gone."""
-    cluster = recovery_cluster()
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, yard="south", guess_s=900.0))
     cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south", guess_s=900.0))
     wait(cluster, 5.0)
@@ -233,8 +231,7 @@
     assert totals["over"] == 2 and totals["cancelled"] == 0 and sum(totals.values()) == 6
 
 
-def test_a_leader_in_the_lost_zone_is_replaced_and_the_next_one_records_the_loss():
-    cluster = recovery_cluster()
+def test_a_leader_in_the_lost_zone_is_replaced_and_the_next_one_records_the_loss(cluster):
     fill_with_one_job(cluster)
     leader = cluster.leader()
     zone = cluster.nodes[leader].settings.site
@@ -263,8 +260,7 @@
 
 
 @pytest.mark.parametrize("back_first", [True, False])
-def test_the_store_is_down_as_the_zone_returns(back_first):
-    cluster = recovery_cluster()
+def test_the_store_is_down_as_the_zone_returns(cluster, back_first):
     fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 22.0)
@@ -281,8 +277,7 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
-def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back():
-    cluster = recovery_cluster()
+def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back(cluster):
     fill_with_one_job(cluster)
     deleted_worker = next(worker for worker in cluster.workers.values() if worker.zone == "south")
     late_heartbeat = deleted_worker.heartbeat()
@@ -296,8 +291,7 @@
     }
 
 
-def test_services_bound_to_the_zone_and_gangs_partly_inside_it_resume():
-    cluster = recovery_cluster()
+def test_services_bound_to_the_zone_and_gangs_partly_inside_it_resume(cluster):
     cluster.submit("n0", cluster.daemon(1, crew="open", parts=2, yard="south", loaners=True))
     cluster.submit("n0", cluster.job(2, crew="open", shape="gang", parts=6, guess_s=900.0))
     wait(cluster, 8.0)
@@ -319,8 +313,7 @@
     assert set(running_in_zone(cluster)) >= {"req-000001/0", "req-000001/1"}
 
 
-def test_work_returns_in_the_configured_order_and_none_starves():
-    cluster = recovery_cluster()
+def test_work_returns_in_the_configured_order_and_none_starves(cluster):
     fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 36.0)  # until its machines are deleted
