--- a/tests/test_leadership_transfer.py
+++ b/tests/test_leadership_transfer.py
@@ -66,7 +66,7 @@
     assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
 
 
-def test_leadership_moves_at_most_once_a_lease_where_leaders_lose_tnew_leader_workers_in_turn():
+def test_leadership_moves_at_most_once_a_lease_where_leaders_lose_their_workers_in_turn():
     cluster, leader = busy_cluster()
     before = running_tasks(cluster)
     first = fencing_token(cluster)
