--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for the systems around bayford, on loopback sockets, to the protocol that its users publish.
+"""Stand-ins for the systems around bayford, on loopback sockets, by the protocol of their services.
 
 A state service, a cloud, workers, and the processes of real controllers, each with typed controls for
-troubles. For tests; nothing here is part of the service.
+faults. For tests and trials; nothing here is part of the service.
 """
--- a/standins/admission_history.py
+++ b/standins/admission_history.py
@@ -1,4 +1,4 @@
-"""Checks of a history of admission: what was written, level by level, and what users were told."""
+"""Checks of a history of admission: the changes of the store, and the answers to submissions."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -12,8 +12,8 @@
 
 
 @dataclass(frozen=True)
-class Told:
-    """One answer to a submission. `revision`: of the level that a refusal names."""
+class SubmissionAnswer:
+    """One answer to a submission. `revision`: that of the level which a refusal names, else 0."""
 
     controller: str
     job_id: str
@@ -22,28 +22,28 @@
 
 
 @dataclass
-class _View:
-    """What is stored at one revision, as far as admission goes by it."""
+class _StoredState:
+    """What is stored at one revision, as far as admission depends on it."""
 
     level: Any = None
-    level_stamp: int = 0
+    level_version: int = 0
     rows: dict[str, Row] = field(default_factory=dict)
 
-    def take(self, row: Row) -> None:
+    def apply(self, row: Row) -> None:
         if row.key == records.ADMISSION:
-            self.level, self.level_stamp = row.value, row.version
+            self.level, self.level_version = row.value, row.version
         elif row.value is None:
             self.rows.pop(row.key, None)
         else:
             self.rows[row.key] = row
 
-    def in_force(self) -> Level | None:
+    def level_in_force(self) -> Level | None:
         members = [row for key, row in self.rows.items() if key.startswith(records.MEMBERS)]
-        told = [row for key, row in self.rows.items() if key.startswith(records.FEATURES)]
-        return None if features.lacking(members, told) else _level(self.level)
+        stored_features = [row for key, row in self.rows.items() if key.startswith(records.FEATURES)]
+        return None if features.lacking(members, stored_features) else _decoded_level(self.level)
 
 
-def _level(value: Any) -> Level | None:
+def _decoded_level(value: Any) -> Level | None:
     try:
         return None if value is None else decode(value)
     except UnreadableLevelError:
@@ -55,66 +55,70 @@
 
     `changes`: of the state service, in order. What one transaction writes has one revision.
     """
-    view = _View()
+    state = _StoredState()
     seen: set[str] = set()
-    out = []
+    violations = []
     for row in changes:
         job_id = row.key[len(records.JOBS) :]
         if not row.key.startswith(records.JOBS):
-            view.take(row)
+            state.apply(row)
         elif job_id in flows and job_id not in seen:
             seen.add(job_id)
-            if not decide(view.in_force(), flows[job_id], job_id).admitted:
-                out.append(job_id)
-    return out
+            if not decide(state.level_in_force(), flows[job_id], job_id).admitted:
+                violations.append(job_id)
+    return violations
 
 
-def accepted_under(changes: Iterable[Row]) -> list[Told]:
-    """Of each job the level that was stored when its record was first written, as if it had been told."""
+def accepted_under(changes: Iterable[Row]) -> list[SubmissionAnswer]:
+    """For each job the version of the level that was stored when its record was first written."""
     version = 0
-    found: dict[str, Told] = {}
+    first_stored: dict[str, SubmissionAnswer] = {}
     for row in changes:
         if row.key == records.ADMISSION:
             version = row.version
         elif row.key.startswith(records.JOBS):
             job_id = row.key[len(records.JOBS) :]
-            found.setdefault(job_id, Told("", job_id, 201, version))
-    return list(found.values())
+            first_stored.setdefault(job_id, SubmissionAnswer("", job_id, 201, version))
+    return list(first_stored.values())
 
 
-def refused_wrongly(changes: Iterable[Row], told: Iterable[Told], flows: Mapping[str, Flow]) -> list[Told]:
-    """Refusals by a level that admits the job, by none that was ever written, or after its acceptance."""
+def refused_wrongly(
+    changes: Iterable[Row], answers: Iterable[SubmissionAnswer], flows: Mapping[str, Flow]
+) -> list[SubmissionAnswer]:
+    """Refusals by a level that admits the job, by a level that was never written, or after its acceptance."""
     levels: dict[int, Level | None] = {}
     accepted_at: dict[str, int] = {}
     for row in changes:
         if row.key == records.ADMISSION:
-            levels[row.version] = _level(row.value)
+            levels[row.version] = _decoded_level(row.value)
         elif row.key.startswith(records.JOBS):
             accepted_at.setdefault(row.key[len(records.JOBS) :], row.version)
-    out = []
-    for answer in told:
+    violations = []
+    for answer in answers:
         if answer.status != 429:
             continue
         level = levels.get(answer.revision)
         accepted = accepted_at.get(answer.job_id)
-        late = accepted is not None and accepted < answer.revision
-        if level is None or late or decide(level, flows[answer.job_id], answer.job_id).admitted:
-            out.append(answer)
-    return out
+        known_before = accepted is not None and accepted < answer.revision
+        if level is None or known_before or decide(level, flows[answer.job_id], answer.job_id).admitted:
+            violations.append(answer)
+    return violations
 
 
-def chosen_differently(told: Iterable[Told]) -> list[str]:
-    """Jobs of which one level stands both for their refusal and for their acceptance (`accepted_under`)."""
+def chosen_differently(answers: Iterable[SubmissionAnswer]) -> list[str]:
+    """Jobs that one level both refused and accepted (see `accepted_under`)."""
     choices: dict[tuple[str, int], set[bool]] = {}
-    for answer in told:
+    for answer in answers:
         if answer.revision and answer.status in (201, 429):
             choices.setdefault((answer.job_id, answer.revision), set()).add(answer.status == 201)
-    return sorted({job for (job, _), found in choices.items() if len(found) > 1})
+    return sorted({job for (job, _), outcomes in choices.items() if len(outcomes) > 1})
 
 
 def began_too_late(begun: Mapping[str, int], pairs: Iterable[tuple[str, str]]) -> list[str]:
-    """Of pairs of jobs that came together, the urgent ones that began after the other. `begun`: the first
-    attempt of each job; attempts are numbered in the order in which they are placed."""
+    """The urgent jobs that started after the other job of their pair, submitted at the same time.
+
+    `begun`: the first attempt of each job; attempts are numbered in the order of placement.
+    """
     return [
         urgent
         for urgent, other in pairs
--- a/standins/controllers.py
+++ b/standins/controllers.py
@@ -1,4 +1,4 @@
-"""Real controller processes of this program, and users who talk to them."""
+"""Processes of real controllers, and requests of users to them."""
 
 import http.client
 import json
@@ -14,7 +14,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of the loopback address that nobody listens at now."""
+    """Ports of the loopback address that are free now."""
     sockets = [socket.socket() for _ in range(count)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -25,10 +25,10 @@
 
 
 class Controllers:
-    """Some controllers of one site; each may be killed and started again."""
+    """The controllers of one site; each may be killed and started again."""
 
     def __init__(self, folder: Path, zones: dict[str, str], facts: str, script: str) -> None:
-        """`zones`: each controller's zone. `facts`: the settings' `[facts]` in TOML."""
+        """`zones`: the zone of each controller, by name. `facts`: `[facts]` of the settings, as TOML."""
         self._folder = folder
         self._zones = zones
         self._facts = facts
@@ -64,13 +64,13 @@
             )
 
     def kill(self, name: str) -> None:
-        """End one without notice."""
+        """Kill a controller's process."""
         process = self._running.pop(name)
         process.kill()
         process.wait()
 
     def close(self) -> None:
-        """End all."""
+        """Kill all that run."""
         for name in list(self._running):
             self.kill(name)
 
@@ -79,12 +79,12 @@
         return (self._folder / f"{name}.log").read_text()
 
     def ask(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """One user's request to one controller; status 0 for no answer."""
+        """A user's request to one controller: status and body; status 0 without a response."""
         status, answer, _ = self.request(name, method, path, body)
         return status, answer
 
     def request(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any, float]:
-        """The same, and after how many seconds to come back, 0 where that is not said."""
+        """The same, and the seconds of `Retry-After`, 0 without that header."""
         connection = http.client.HTTPConnection(self.fronts[name], timeout=5.0)
         try:
             connection.request(method, path, None if body is None else json.dumps(body))
@@ -96,13 +96,13 @@
         finally:
             connection.close()
 
-    def submit(self, job: dict[str, Any], most_s: float = 60.0) -> str:
-        """Submit as users do, at one controller after the other, until it is accepted; where that was."""
-        until = time.monotonic() + most_s
-        while time.monotonic() < until:
+    def submit(self, job: dict[str, Any], timeout_s: float = 60.0) -> str:
+        """Submit as users do, to one controller after the other, until one accepts; its name."""
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline:
             for name in list(self._running):
                 status, _ = self.ask(name, "POST", "/api/jobs", job)
                 if status in (200, 201):
                     return name
             time.sleep(0.2)
-        raise TimeoutError(f"{job['id']} is accepted by nobody")
+        raise TimeoutError(f"{job['id']} was accepted by no controller")
--- a/standins/history.py
+++ b/standins/history.py
@@ -1,4 +1,4 @@
-"""Checks of a history of what ran, and of what users were told."""
+"""Checks of a history of task attempts, and of the answers that users got."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
@@ -7,59 +7,61 @@
 
 
 def ran_twice(history: Iterable[Event]) -> list[str]:
-    """Tasks that began to run while an attempt of them ran."""
+    """Tasks that started while another attempt of them ran."""
     running: dict[str, tuple[int, str]] = {}
-    out = []
+    violations = []
     for event in history:
         attempt = (event.number, event.machine)
         if event.what == "running":
             if event.task_id in running:
-                out.append(event.task_id)
+                violations.append(event.task_id)
             running[event.task_id] = attempt
         elif running.get(event.task_id) == attempt:
             del running[event.task_id]
-    return out
+    return violations
 
 
-def not_done_once(history: Iterable[Event], parts: Iterable[str]) -> list[str]:
-    """Of these tasks the ones that did not complete, or completed more than once."""
+def not_done_once(history: Iterable[Event], task_ids: Iterable[str]) -> list[str]:
+    """Those of these tasks that did not complete exactly once."""
     done = Counter(event.task_id for event in history if event.what == "done")
-    return [task_id for task_id in parts if done[task_id] != 1]
+    return [task_id for task_id in task_ids if done[task_id] != 1]
 
 
 def done_again(history: Iterable[Event]) -> list[str]:
-    """Tasks that completed although an attempt of them had, and its machine had not forgotten that: a worker
-    whose lease ends forgets what had ended there, and the task may run once more."""
-    kept: set[str] = set()
-    out = []
+    """Tasks that completed twice while the machine of the first completion still remembered it.
+
+    A worker whose lease expires forgets ended attempts, after which the task may run once more.
+    """
+    remembered: set[str] = set()
+    violations = []
     for event in history:
         if event.what == "done":
-            if event.task_id in kept:
-                out.append(event.task_id)
-            kept.add(event.task_id)
+            if event.task_id in remembered:
+                violations.append(event.task_id)
+            remembered.add(event.task_id)
         elif event.what == "forgotten":
-            kept.discard(event.task_id)
-    return out
+            remembered.discard(event.task_id)
+    return violations
 
 
 def without_one_answer(answers: Mapping[str, Mapping[str, str | None]], final: str) -> list[str]:
-    """Jobs of which not every controller gives this one final answer. `answers`: by job and controller."""
-    return [job for job, told in answers.items() if not told or set(told.values()) != {final}]
+    """Jobs for which some controller gives another phase than `final`. `answers`: by job and controller."""
+    return [job for job, phases in answers.items() if not phases or set(phases.values()) != {final}]
 
 
 def out_of_order(history: Iterable[Event], machines: Iterable[str], jobs: Sequence[str]) -> list[str]:
-    """Jobs of which a task was placed on these machines before one of the job that comes before it there.
+    """Jobs that started a task on these machines before the job that precedes them in `jobs` had started all.
 
     Attempts are numbered in the order in which they are placed.
     """
-    there = set(machines)
+    on_machines = set(machines)
     numbers: dict[str, list[int]] = {job: [] for job in jobs}
     for event in history:
         job = event.task_id.partition("/")[0]
-        if event.machine in there and event.what == "running" and job in numbers:
+        if event.machine in on_machines and event.what == "running" and job in numbers:
             numbers[job].append(event.number)
-    out = []
+    violations = []
     for before, after in zip(jobs, jobs[1:], strict=False):
         if not numbers[before] or not numbers[after] or max(numbers[before]) >= min(numbers[after]):
-            out.append(after)
-    return out
+            violations.append(after)
+    return violations
--- a/standins/site.py
+++ b/standins/site.py
@@ -48,7 +48,7 @@
 
 
 class Site:
-    """Everything together, for a `with` statement."""
+    """All of them together, as a context manager."""
 
     def __init__(
         self,
@@ -59,10 +59,12 @@
         teams: Mapping[str, float] = MappingProxyType({"builders": 0.0}),
         state: StateService | None = None,
     ) -> None:
-        """`teams`: the guaranteed CPUs of each, 0 for none."""
+        """`teams`: the guaranteed CPUs of each team, 0 for no guarantee."""
         names = {"n0": "north", "n1": "south", "n2": "north"}
-        told = "".join(f'[[facts.teams]]\nname = "{name}"\ncpus = {cpus}\n' for name, cpus in teams.items())
-        facts = FACTS.format(teams=told, report_s=lease_s / 6, lease_s=lease_s, cancel_s=lease_s * 3.5)
+        team_tables = "".join(
+            f'[[facts.teams]]\nname = "{name}"\ncpus = {cpus}\n' for name, cpus in teams.items()
+        )
+        facts = FACTS.format(teams=team_tables, report_s=lease_s / 6, lease_s=lease_s, cancel_s=lease_s * 3.5)
         self.controllers = Controllers(folder, names, facts, script)
         self.state = state or StateService()
         self.fleet = WorkerFleet(self.controllers.fronts, heartbeat_interval_s=lease_s / 6, lease_s=lease_s)
@@ -86,26 +88,26 @@
         self.controllers.start(name, self.state.address, self.cloud.address)
 
     def leader(self) -> str | None:
-        """The controller that owns the teams, by the leadership record in the state service."""
+        """The leader by the leadership record in the state service."""
         leaders = self.state.values("b/map").get("b/map", {}).get("owners")
         return next(iter(leaders.values()), None) if isinstance(leaders, dict) else None
 
     def submit(self, job: dict[str, Any], run_s: float) -> None:
-        """A user uploads a job, whose tasks run for so long, and submits it."""
+        """Upload a job each of whose tasks runs for `run_s`, and submit it until it is accepted."""
         self.fleet.upload(job, run_s)
         self.controllers.submit(job)
 
     def phases(self, job_id: str) -> dict[str, str | None]:
-        """What each controller says of a job, None where it gives no answer."""
-        out = {}
+        """The phase of a job by each controller, None where it doesn't answer with 200."""
+        phases: dict[str, str | None] = {}
         for name in self.controllers.fronts:
             status, body = self.controllers.ask(name, "GET", f"/api/jobs/{job_id}")
-            out[name] = body["phase"] if status == 200 else None
-        return out
+            phases[name] = body["phase"] if status == 200 else None
+        return phases
 
 
 def job(number: int, image: str, tasks: int, job_class: str = "hot-builds", **fields: Any) -> dict[str, Any]:
-    """A submission."""
+    """The body of a submission, with wire names; `fields` replace the defaults."""
     return {
         "id": f"req-{number:06d}",
         "lane": job_class,
@@ -130,10 +132,10 @@
     } | fields
 
 
-def await_state(holds: Callable[[], bool], what: str, most_s: float = 120.0) -> None:
-    """Wait until something holds. The bound is generous: it ends a test that hangs and says nothing else."""
-    until = time.monotonic() + most_s
+def await_state(holds: Callable[[], bool], what: str, timeout_s: float = 120.0) -> None:
+    """Wait until `holds` does. The bound is generous: it ends a test that hangs and asserts nothing else."""
+    deadline = time.monotonic() + timeout_s
     while not holds():
-        if time.monotonic() > until:
-            raise TimeoutError(f"{what}: not within {most_s:.0f} s")
+        if time.monotonic() > deadline:
+            raise TimeoutError(f"{what}: not within {timeout_s:.0f} s")
         time.sleep(0.1)
--- a/standins/state_service.py
+++ b/standins/state_service.py
@@ -1,4 +1,4 @@
-"""The state service by its page: keys with versions, transactions, leases, changes."""
+"""The state service by its protocol: keys with versions, transactions, leases, a log of changes."""
 
 import math
 import threading
@@ -7,24 +7,25 @@
 from typing import Any
 
 from bayford.storage.key_value_store import Row
-from standins.http_service import Answer, Call, HttpService, ServiceControls
+from standins.http_service import Request, Response, HttpService, ServiceControls
 
 
-class _Rate:
-    """So many a second, and one second's worth at once."""
+class _RateLimit:
+    """A rate a second, with bursts of one second's worth."""
 
     def __init__(self, per_s: float) -> None:
-        self._per_s = self._saved = per_s
-        self._at = time.monotonic()
+        self._per_s = self._available = per_s
+        self._filled_at = time.monotonic()
 
     def take(self, count: int) -> bool:
+        """Whether `count` more are within the rate; if so they are counted."""
         now = time.monotonic()
         if math.isfinite(self._per_s):
-            self._saved = min(self._per_s, self._saved + (now - self._at) * self._per_s)
-        self._at = now
-        if self._saved < count:
+            self._available = min(self._per_s, self._available + (now - self._filled_at) * self._per_s)
+        self._filled_at = now
+        if self._available < count:
             return False
-        self._saved -= count
+        self._available -= count
         return True
 
 
@@ -36,21 +37,21 @@
 
 
 class StateService:
-    """A small consistent store, for as long as the test runs."""
+    """A small consistent store, in memory."""
 
     def __init__(self, rps: float = math.inf, write_rps: float = math.inf) -> None:
-        """`rps`, `write_rps`: requests and changes a second, with bursts of one second's worth; above 429."""
-        self._requests = _Rate(rps)
-        self._writes = _Rate(write_rps)
+        """`rps`, `write_rps`: requests and changes a second, with bursts of one second's worth; beyond: 429."""
+        self._requests = _RateLimit(rps)
+        self._writes = _RateLimit(write_rps)
         self.refused = 0
         self.longest_unrenewed_s = 0.0  # of any lease: from one renewal to the next
         self.controls = ServiceControls()
-        self._changed = threading.Condition()
+        self._changed = threading.Condition()  # guards all that is stored; notified of each change
         self._rows: dict[str, _Row] = {}
-        self._leases: dict[int, tuple[float, float]] = {}  # until, ttl
+        self._leases: dict[int, tuple[float, float]] = {}  # number -> when it expires, its TTL in seconds
         self._log: list[dict[str, Any]] = []
         self.epoch = 1
-        self.changes = 0  # puts and deletes so far
+        self.changes = 0  # puts and deletions so far
         self._service = HttpService(self._handle, self.controls)
         self.address = self._service.address
 
@@ -59,42 +60,42 @@
         self._service.close()
 
     def values(self, prefix: str) -> dict[str, Any]:
-        """What is stored below a prefix now."""
+        """The values of all keys with this prefix."""
         with self._changed:
             return {key: row.value for key, row in self._rows.items() if key.startswith(prefix)}
 
     def history(self) -> list[Row]:
-        """All changes so far, in order; the value of what was deleted is None."""
+        """All changes so far, in order; the value of a deleted key is None."""
         with self._changed:
             return [Row(c.get("set") or c["drop"], c.get("v"), c["stamp"]) for c in self._log]
 
-    def _handle(self, call: Call) -> Answer:
-        changes = len(call.body.get("then", ())) if call.path == "/multi" else 0
+    def _handle(self, request: Request) -> Response:
+        changes = len(request.body.get("then", ())) if request.path == "/multi" else 0
         with self._changed:
             if not self._requests.take(1) or not self._writes.take(changes):
                 self.refused += 1
-                return Answer(429)
-        if call.path == "/multi":
-            return self._transact(call.body)
-        if call.path == "/changes":
-            return self._watch(call.query)
-        if call.path.startswith("/leases"):
-            return self._lease(call)
-        if call.path == "/store":
-            return self._scan(call.query)
-        if call.path.startswith("/store/"):
-            return self._get(call.path[len("/store/") :])
-        return Answer(400)
-
-    def _get(self, key: str) -> Answer:
+                return Response(429)
+        if request.path == "/multi":
+            return self._transact(request.body)
+        if request.path == "/changes":
+            return self._watch(request.query)
+        if request.path.startswith("/leases"):
+            return self._lease(request)
+        if request.path == "/store":
+            return self._scan(request.query)
+        if request.path.startswith("/store/"):
+            return self._get(request.path[len("/store/") :])
+        return Response(400)
+
+    def _get(self, key: str) -> Response:
         with self._changed:
             self._expire()
             row = self._rows.get(key)
             if row is None:
-                return Answer(404, {"epoch": self.epoch})
-            return Answer(200, {"path": key, "v": row.value, "stamp": row.version, "permit": row.lease})
+                return Response(404, {"epoch": self.epoch})
+            return Response(200, {"path": key, "v": row.value, "stamp": row.version, "permit": row.lease})
 
-    def _scan(self, query: dict[str, str]) -> Answer:
+    def _scan(self, query: dict[str, str]) -> Response:
         limit = int(query.get("limit", 1000))
         with self._changed:
             self._expire()
@@ -107,24 +108,24 @@
                 {"path": key, "v": self._rows[key].value, "stamp": self._rows[key].version}
                 for key in keys[:limit]
             ]
-            return Answer(200, {"rows": rows, "more": len(keys) > limit, "epoch": self.epoch})
+            return Response(200, {"rows": rows, "more": len(keys) > limit, "epoch": self.epoch})
 
-    def _transact(self, body: dict[str, Any]) -> Answer:
+    def _transact(self, body: dict[str, Any]) -> Response:
         changes = body.get("then", [])
         with self._changed:
             self._expire()
             if any(c.get("permit") is not None and c["permit"] not in self._leases for c in changes):
-                return Answer(400, {"error": "no such lease"})
+                return Response(400, {"error": "no such lease"})
             failed = [
                 w["path"]
                 for w in body.get("when", [])
                 if (self._rows[w["path"]].version if w["path"] in self._rows else 0) != w["stamp"]
             ]
             if failed:
-                return Answer(409, {"failed": failed, "epoch": self.epoch})
+                return Response(409, {"failed": failed, "epoch": self.epoch})
             if changes:
                 self._apply(changes)
-            return Answer(200, {"epoch": self.epoch})
+            return Response(200, {"epoch": self.epoch})
 
     def _apply(self, changes: list[dict[str, Any]]) -> None:
         self.epoch += 1
@@ -149,19 +150,19 @@
         if keys:
             self._apply([{"drop": key} for key in keys])
 
-    def _lease(self, call: Call) -> Answer:
-        words = call.path.strip("/").split("/")
+    def _lease(self, request: Request) -> Response:
+        segments = request.path.strip("/").split("/")
         with self._changed:
             self._expire()
-            if len(words) == 1:
+            if len(segments) == 1:
                 number = self.epoch * 1000 + len(self._leases)
-                ttl_s = call.body["ttl_ms"] / 1000.0
+                ttl_s = request.body["ttl_ms"] / 1000.0
                 self._leases[number] = (time.monotonic() + ttl_s, ttl_s)
-                return Answer(200, {"permit": number})
-            number = int(words[1])
+                return Response(200, {"permit": number})
+            number = int(segments[1])
             if number not in self._leases:
-                return Answer(404)
-            if call.method == "DELETE":
+                return Response(404)
+            if request.method == "DELETE":
                 del self._leases[number]
                 self._drop_keys_of(number)
             else:
@@ -169,9 +170,9 @@
                 unrenewed_s = ttl_s - (until - time.monotonic())
                 self.longest_unrenewed_s = max(self.longest_unrenewed_s, unrenewed_s)
                 self._leases[number] = (time.monotonic() + ttl_s, ttl_s)
-            return Answer(200)
+            return Response(200)
 
-    def _watch(self, query: dict[str, str]) -> Answer:
+    def _watch(self, query: dict[str, str]) -> Response:
         since = int(query["since"])
         prefix = query.get("prefix", "")
         until = time.monotonic() + int(query.get("block_ms", 0)) / 1000.0
@@ -183,7 +184,7 @@
                     for c in self._log
                     if c["stamp"] > since and (c.get("set") or c["drop"]).startswith(prefix)
                 ]
-                left = until - time.monotonic()
-                if log or left <= 0:
-                    return Answer(200, {"epoch": self.epoch, "log": log})
-                self._changed.wait(min(left, 0.2))
+                remaining_s = until - time.monotonic()
+                if log or remaining_s <= 0:
+                    return Response(200, {"epoch": self.epoch, "log": log})
+                self._changed.wait(min(remaining_s, 0.2))
