--- a/standins/state_service.py
+++ b/standins/state_service.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from bayford.storage.key_value_store import Row
-from standins.http_service import Request, Response, HttpService, ServiceControls
+from standins.http_service import HttpService, Request, Response, ServiceControls
 
 
 class _RateLimit:
@@ -40,7 +40,7 @@
     """A small consistent store, in memory."""
 
     def __init__(self, rps: float = math.inf, write_rps: float = math.inf) -> None:
-        """`rps`, `write_rps`: requests and changes a second, with bursts of one second's worth; beyond: 429."""
+        """`rps`, `write_rps`: requests and changes a second, bursts of one second's worth; beyond: 429."""
         self._requests = _RateLimit(rps)
         self._writes = _RateLimit(write_rps)
         self.refused = 0
