--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -3,7 +3,7 @@
 import threading
 from typing import Any
 
-from standins.http_service import Request, Response, HttpService, ServiceControls
+from standins.http_service import HttpService, Request, Response, ServiceControls
 from standins.workers import MachineKind, Worker, WorkerFleet
 
 
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from standins.http_service import Request, Response, HttpService
+from standins.http_service import HttpService, Request, Response
 
 RESPONSE_TIMEOUT_S = 4.0  # of a heartbeat
 STEP_S = 0.05
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -21,7 +21,7 @@
 from bayford.storage import records
 from bayford.storage.key_value_store import Put, Row
 from standins.admission_history import (
-    Told,
+    SubmissionAnswer,
     accepted_under,
     against_level,
     began_too_late,
@@ -77,7 +77,7 @@
     return cluster.job(number, parts=1, **fields)
 
 
-def submit(cluster: World, node: str, number: int, **fields: Any) -> Told:
+def submit(cluster: World, node: str, number: int, **fields: Any) -> SubmissionAnswer:
     """Submit a job; the answer, with the revision of the level that a refusal names."""
     body = submission_of(cluster, number, **fields)
     response = cluster.nodes[node].submit(body)
@@ -85,7 +85,7 @@
         cluster.specs[f"req-{number:06d}"] = jobs.parse_submission(body)
         cluster.accepted.add(f"req-{number:06d}")
     revision = orjson.loads(response.body)["revision"] if response.status == 429 else 0
-    return Told(node, f"req-{number:06d}", response.status, revision)
+    return SubmissionAnswer(node, f"req-{number:06d}", response.status, revision)
 
 
 def refused_number(in_force: Level, flow: Flow = SWEEP, start: int = 1) -> int:
@@ -100,9 +100,9 @@
 
 def flood(
     cluster: World, seconds: float, first: int, per_s: int = 30, nodes: Sequence[str] = NODES, **fields: Any
-) -> list[Told]:
+) -> list[SubmissionAnswer]:
     """Submit new jobs, numbered from `first`, and refused ones again after 3 s; all answers."""
-    answers: list[Told] = []
+    answers: list[SubmissionAnswer] = []
     retries: list[tuple[float, int]] = []
     for step in range(int(seconds * 2)):
         now = cluster.clock.now
@@ -148,7 +148,7 @@
     revision = publish(cluster, encode(level(0.1), 4096))
     number = refused_number(level(0.1))
     cluster.boot("n2")
-    assert submit(cluster, "n2", number) == Told("n2", f"req-{number:06d}", 429, revision)
+    assert submit(cluster, "n2", number) == SubmissionAnswer("n2", f"req-{number:06d}", 429, revision)
 
 
 @pytest.mark.parametrize("fault", ["lost", "refuses", "blind"])
@@ -444,9 +444,11 @@
     assert against_level([LEVEL, ACCEPTANCE], FLOWS) == [REFUSED_JOB]
     assert against_level([ACCEPTANCE, LEVEL], FLOWS) == []
     assert against_level([Row(records.MEMBERS + "n0", "i", 1), LEVEL, ACCEPTANCE], FLOWS) == []
-    refused = Told("n0", REFUSED_JOB, 429, 5)
+    refused = SubmissionAnswer("n0", REFUSED_JOB, 429, 5)
     assert refused_wrongly([LEVEL], [refused], FLOWS) == []
-    assert refused_wrongly([LEVEL], [Told("n0", REFUSED_JOB, 429, 4)], FLOWS), "refused by no stored level"
+    assert refused_wrongly([LEVEL], [SubmissionAnswer("n0", REFUSED_JOB, 429, 4)], FLOWS), (
+        "refused by no stored level"
+    )
     assert refused_wrongly([Row(records.key(REFUSED_JOB), [], 3), LEVEL], [refused], FLOWS), (
         "refused after its acceptance"
     )
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -27,7 +27,7 @@
     state = StateService(RPS, WRITE_RPS)
     with Site(tmp_path, SCRIPT, MACHINES, teams=TEAMS, state=state) as site:
         for n in range(MACHINES):
-            site.fleet.begin(KIND, "north" if n % 2 else "south", True)
+            site.fleet.launch(KIND, "north" if n % 2 else "south", True)
         await_state(lambda: site.leader() is not None, "an owner")
         users = Users(site, 5)
         flood = threading.Thread(
@@ -62,7 +62,7 @@
 
         await_state(lambda: not undone(), "what was accepted is done")
 
-        told, changes = users.told(), state.history()
+        told, changes = users.all_answers(), state.history()
         flows = {s.job["id"]: flow_of(s.job) for s in submissions}
         assert any(answer.status == 429 for answer in told), "it was a flood"
         assert against_level(changes, flows) == [] and refused_wrongly(changes, told, flows) == []
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -22,7 +22,7 @@
     with Site(tmp_path, ALL_PARTS + KEEP_IDLE, MACHINES) as site:
         for n in range(MACHINES):
             images = (IMAGES[n],) if n < len(IMAGES) else ()
-            site.fleet.begin(KIND, "north" if n % 2 else "south", True, images)
+            site.fleet.launch(KIND, "north" if n % 2 else "south", True, images)
         # A first job of each image, so that the controllers learn where it lies.
         for n, image in enumerate(IMAGES):
             site.submit(job(900 + n, image, 1), run_s=0.2)
@@ -107,7 +107,7 @@
     """Its leader ends meanwhile; jobs bound to the zone come back in the stated order."""
     with Site(tmp_path, RECOVER + KEEP_IDLE, 12, lease_s=6.0) as site:
         for n in range(12):
-            site.fleet.begin(KIND, "south" if n % 2 else "north", True)
+            site.fleet.launch(KIND, "south" if n % 2 else "north", True)
 
         def south() -> list[str]:
             return [name for name, worker in site.fleet.workers.items() if worker.zone == "south"]
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -140,7 +140,7 @@
     state = StateService(RPS, WRITE_RPS)
     with Site(folder, script, MACHINES, teams=TEAMS, state=state) as site:
         for n in range(MACHINES):
-            site.fleet.begin(KIND, "north" if n % 2 else "south", True)
+            site.fleet.launch(KIND, "north" if n % 2 else "south", True)
         await_state(lambda: site.leader() is not None, "an owner")
         time.sleep(2.0)
         users = Users(site, seed)
@@ -175,7 +175,7 @@
         print(f"  {requests_line(site)}", flush=True)
         flows = {s.job["id"]: flow_of(s.job) for s in users.submissions}
         history = state.history()
-        wrong = [*against_level(history, flows), *refused_wrongly(history, users.told(), flows)]
+        wrong = [*against_level(history, flows), *refused_wrongly(history, users.all_answers(), flows)]
         twice = ran_twice(site.fleet.history)
         if wrong or twice:
             print(f"  WRONG: against their level {wrong[:5]}; ran twice {twice[:5]}")
--- a/tools/spread_trial.py
+++ b/tools/spread_trial.py
@@ -37,7 +37,7 @@
     rng = random.Random(seed)
     with Site(folder, script, MACHINES) as site:
         for _ in range(FIRST):
-            site.fleet.begin(KIND, "north", True)
+            site.fleet.launch(KIND, "north", True)
         mirrors = [
             job(
                 500 + n,
@@ -57,7 +57,7 @@
         await_state(lambda: max(site.fleet.loads().values()) == 1.0, "mirror jobs run")
         time.sleep(6.0)
         for n in range(MACHINES - FIRST):
-            site.fleet.begin(KIND, "south", True, (f"img-{n}",) if n < 3 else ())
+            site.fleet.launch(KIND, "south", True, (f"img-{n}",) if n < 3 else ())
         submitted: dict[str, float] = {}
         begun: dict[str, float] = {}
         highest: list[float] = []
--- a/tools/zone_trial.py
+++ b/tools/zone_trial.py
@@ -41,7 +41,7 @@
             return sum(a.phase == "running" and a.task_id.startswith(prefix) for a in tasks)
 
         for n in range(machines):
-            site.fleet.begin(KIND, "south" if n % 2 else "north", True)
+            site.fleet.launch(KIND, "south" if n % 2 else "north", True)
         tasks = machines * int(KIND.cpus) // 2
         site.submit(job(0, "img-0", tasks, "mirror-trickle", rank="idle"), run_s=1e9)
         await_state(lambda: running("req-000000") == tasks, "all tasks run", WAIT_S)
@@ -54,7 +54,7 @@
             site.submit(job(number, f"img-{number}", machines * 2, name, yard="south", rank="normal"), 1e9)
         site.fleet.cut_zone("south", away=False)
         for _ in range(machines // 2):
-            site.fleet.begin(KIND, "south", True)
+            site.fleet.launch(KIND, "south", True)
         back_at = time.monotonic()
         served: dict[str, float] = {}
         while len(served) < len(CLASSES) - 1 and time.monotonic() - back_at < 60.0:
