--- a/tests/test_deadline_bound.py
+++ b/tests/test_deadline_bound.py
@@ -9,7 +9,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tools"))
 
-from deadline_bound import Capacity, DrawnJob, bounds, draw_capacity, most_in_time  # noqa: E402
+from deadline_bound import Capacity, DrawnJob, bounds, draw_capacity, max_in_time  # noqa: E402
 
 TWO_CPUS = Capacity([0.0, 10.0], [1.0, 1.0])  # the second comes up after 10 s
 
@@ -57,13 +57,13 @@
     ],
 )
 def test_as_many_jobs_as_fit_by_their_deadlines(jobs, expected):
-    assert most_in_time(jobs, TWO_CPUS) == expected
+    assert max_in_time(jobs, TWO_CPUS) == expected
 
 
 def test_work_of_higher_priorities_reduces_the_capacity():
     urgent = [job(8.0, 10.0, priority=1), job(50.0, 100.0, arrives_s=30.0, priority=1)]
-    assert most_in_time([job(5.0, 10.0)], TWO_CPUS, urgent) == 0
-    assert most_in_time([job(2.0, 10.0)], TWO_CPUS, urgent) == 1, "jobs that arrive later take nothing yet"
+    assert max_in_time([job(5.0, 10.0)], TWO_CPUS, urgent) == 0
+    assert max_in_time([job(2.0, 10.0)], TWO_CPUS, urgent) == 1, "jobs that arrive later take nothing yet"
 
 
 def test_initial_machines_are_up_and_the_others_boot():
--- a/tools/deadline_bound.py
+++ b/tools/deadline_bound.py
@@ -48,8 +48,8 @@
 
     def work_until(self, at_s: float) -> float:
         """CPU seconds that all machines together can do until then."""
-        up = bisect.bisect_right(self.from_s, at_s)
-        return sum((at_s - self.from_s[n]) * self.cpus[n] for n in range(up))
+        up_count = bisect.bisect_right(self.from_s, at_s)
+        return sum((at_s - self.from_s[n]) * self.cpus[n] for n in range(up_count))
 
 
 def lognormal(rng: random.Random, spread: dict[str, float]) -> float:
@@ -78,8 +78,8 @@
 
 def draw_day(rng: random.Random, site: dict[str, Any]) -> list[DrawnJob]:
     """All jobs of one day."""
-    fetch = max(kind["fetch_gb_per_s"] for kind in site["machine_types"])
-    out: list[DrawnJob] = []
+    fetch_gb_per_s = max(kind["fetch_gb_per_s"] for kind in site["machine_types"])
+    drawn_jobs: list[DrawnJob] = []
     for kind in site["jobs"]:
         arrivals = kind["arrivals"]
         moments = [0.0] * kind.get("initial", 0)
@@ -88,8 +88,8 @@
             arrivals["rate"] > 0 and (at_s := at_s + rng.expovariate(arrivals["rate"])) < arrivals["stop_s"]
         ):
             moments.append(at_s)
-        out += [draw_job(rng, kind, fetch, moment) for moment in moments]
-    return out
+        drawn_jobs += [draw_job(rng, kind, fetch_gb_per_s, moment) for moment in moments]
+    return drawn_jobs
 
 
 def draw_capacity(rng: random.Random, site: dict[str, Any]) -> Capacity:
@@ -105,27 +105,28 @@
     return Capacity([at_s for at_s, _ in up_at], [cpus for _, cpus in up_at])
 
 
-def most_in_time(jobs: Sequence[DrawnJob], capacity: Capacity, taken: Sequence[DrawnJob] = ()) -> int:
-    """How many of the jobs can meet their deadlines at the most; the work of `taken` is done before theirs.
+def max_in_time(jobs: Sequence[DrawnJob], capacity: Capacity, taken: Sequence[DrawnJob] = ()) -> int:
+    """The largest number of these jobs that can meet their deadlines, with the work of `taken` done before.
 
-    Of `taken` counts, by each deadline, what has arrived until then: it leaves that much less.
+    Of `taken`, what has arrived by a deadline reduces the capacity until then.
     """
-    kept: list[float] = []  # work of the jobs in time, negated: the largest first
-    demand = 0.0
+    in_time_work: list[float] = []  # a heap of the work of the jobs in time, negated: the largest first
+    demand = 0.0  # CPU seconds
     for job in sorted(jobs, key=lambda job: job.due_s):
-        if job.arrives_s + job.longest_s > job.due_s or job.work > _most_done(job, job.due_s, capacity):
+        if job.arrives_s + job.longest_s > job.due_s or job.work > _max_work(job, job.due_s, capacity):
             continue
-        heapq.heappush(kept, -job.work)
+        heapq.heappush(in_time_work, -job.work)
         demand += job.work
         if math.isinf(job.due_s):
             continue
-        before = sum(min(other.work, _most_done(other, job.due_s, capacity)) for other in taken)
-        while kept and demand + before > capacity.work_until(job.due_s):
-            demand += heapq.heappop(kept)
-    return len(kept)
+        taken_work = sum(min(other.work, _max_work(other, job.due_s, capacity)) for other in taken)
+        while in_time_work and demand + taken_work > capacity.work_until(job.due_s):
+            demand += heapq.heappop(in_time_work)
+    return len(in_time_work)
 
 
-def _most_done(job: DrawnJob, at_s: float, capacity: Capacity) -> float:
+def _max_work(job: DrawnJob, at_s: float, capacity: Capacity) -> float:
+    """CPU seconds that all machines together can spend on a job until `at_s`."""
     return (
         max(0.0, capacity.work_until(at_s) - capacity.work_until(job.arrives_s))
         if at_s > job.arrives_s
@@ -144,8 +145,8 @@
             of_class = [job for job in jobs if job.job_class == name]
             higher = [job for job in jobs if of_class and job.priority < of_class[0].priority]
             count[0] += len(of_class)
-            count[1] += most_in_time(of_class, capacity)
-            count[2] += most_in_time(of_class, capacity, higher)
+            count[1] += max_in_time(of_class, capacity)
+            count[2] += max_in_time(of_class, capacity, higher)
     return {name: (alone / max(1, n), after / max(1, n)) for name, (n, alone, after) in counts.items()}
 
 
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -1,11 +1,11 @@
-"""A small site on loopback under a flood of submissions: what became of each class.
+"""A small site on loopback under a flood of submissions: the results of each class.
 
     python3 tools/flood_trial.py                       # half a minute at the load that the site serves
     python3 tools/flood_trial.py --times 1 3 10 --seconds 60 --seeds 1 2 --admission off on --ends
 
-Three real controllers, stand-in workers, cloud and state service in real time. `--times`: submissions beside
-what the site serves; most are sweeps of one team, urgent builds keep their rate. `--ends`: the leader and
-another controller are killed in the flood and come back. Not for CI.
+Three real controllers, stand-in workers, cloud and state service in real time. `--times`: submissions as a
+multiple of what the site serves; most are sweeps of one team, urgent builds keep their rate. `--ends`: the
+leader and another controller are killed in the flood and come back. Not for CI.
 """
 
 import argparse
@@ -17,6 +17,7 @@
 import threading
 import time
 from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -45,7 +46,7 @@
 )
 KEEP_IDLE = "keep_idle_s = 1e6\nsurplus_idle_s = 1e6\ndear_idle_s = 1e6\n"
 SETTLE_S = 70.0  # users repeat for so long; then the rest has to end
-LEDGER_LINE = re.compile(r"state service, (\w+): (\d+) requests, (\d+) changes, (\d+) refused")
+REQUEST_COUNTS_LINE = re.compile(r"state service, (\w+): (\d+) requests, (\d+) changes, (\d+) refused")
 
 
 def make_job(rng: random.Random, number: int, per_s: float) -> dict[str, Any]:
@@ -60,20 +61,20 @@
     return Flow(PRIORITIES.index(submitted["rank"]), submitted["lane"], submitted["crew"])
 
 
-def end_controllers(site: Site, seconds: float) -> None:
-    """The leader and another end after a third of the time, and come back after 3 s."""
+def kill_controllers(site: Site, seconds: float) -> None:
+    """Kill the leader and another controller after a third of the time, and restart them after 3 s."""
     time.sleep(seconds / 3)
     leader = site.leader() or "n0"
-    ended = [leader, next(name for name in site.controllers.fronts if name != leader)]
-    for name in ended:
+    killed = [leader, next(name for name in site.controllers.fronts if name != leader)]
+    for name in killed:
         site.controllers.kill(name)
     time.sleep(3.0)
-    for name in ended:
+    for name in killed:
         site.start(name)
 
 
 def percentiles(values: Sequence[float]) -> str:
-    """50th, 90th and 99th."""
+    """The 50th, 90th and 99th, in columns."""
     if len(values) < 2:
         return f"{values[0]:5.1f}     -     -" if values else "    -     -     -"
     cuts = statistics.quantiles(values, n=100, method="inclusive")
@@ -81,51 +82,56 @@
 
 
 def class_line(site: Site, job_class: str, submissions: list[Submission]) -> str:
-    """What became of one class."""
-    own = [s for s in submissions if s.job["lane"] == job_class]
-    begun: dict[str, float] = {}
+    """The line of the table for one class."""
+    of_class = [s for s in submissions if s.job["lane"] == job_class]
+    started_at: dict[str, float] = {}
     done = set()
     for event in list(site.fleet.history):
         name = event.task_id.partition("/")[0]
         if event.what == "running":
-            begun.setdefault(name, event.at)
+            started_at.setdefault(name, event.at)
         elif event.what == "done":
             done.add(name)
-    waits = [begun[s.job["id"]] - s.first_at for s in own if s.job["id"] in begun]
-    after = [begun[s.job["id"]] - s.accepted_at for s in own if s.job["id"] in begun and s.accepted_at]
-    statuses = [answer.status for s in own for answer in s.answers]
-    accepted = [s for s in own if s.accepted_at is not None]
-    ended = sum(s.job["id"] in done for s in own)
+    waits = [started_at[s.job["id"]] - s.first_at for s in of_class if s.job["id"] in started_at]
+    waits_after_acceptance = [
+        started_at[s.job["id"]] - s.accepted_at
+        for s in of_class
+        if s.job["id"] in started_at and s.accepted_at
+    ]
+    statuses = [answer.status for s in of_class for answer in s.answers]
+    accepted = [s for s in of_class if s.accepted_at is not None]
+    ended = sum(s.job["id"] in done for s in of_class)
     return (
-        f"  {job_class:15} {len(own):7d} {len(accepted):8d} "
-        f"{statuses.count(429):7d} {statuses.count(503):6d} {len(own) - len(accepted):8d} {ended:6d}"
-        f"    {percentiles(waits)}   {percentiles(after)}"
+        f"  {job_class:15} {len(of_class):7d} {len(accepted):8d} "
+        f"{statuses.count(429):7d} {statuses.count(503):6d} {len(of_class) - len(accepted):8d} {ended:6d}"
+        f"    {percentiles(waits)}   {percentiles(waits_after_acceptance)}"
     )
 
 
 def requests_line(site: Site) -> str:
-    """Whose requests the state service refused, by the controllers' own counts."""
+    """The requests that the state service refused, by component, from the controllers' logs."""
     counts: dict[str, list[int]] = {}
     for name in site.controllers.fronts:
-        last = {found[1]: found for found in LEDGER_LINE.finditer(site.controllers.log(name))}
-        for part, found in last.items():
-            total = counts.setdefault(part, [0, 0, 0])
+        log = site.controllers.log(name)
+        last_lines = {match[1]: match for match in REQUEST_COUNTS_LINE.finditer(log)}
+        for component, match in last_lines.items():
+            total = counts.setdefault(component, [0, 0, 0])
             for n in range(3):
-                total[n] += int(found[n + 2])
+                total[n] += int(match[n + 2])
     return "; ".join(
-        f"{part} {changes} changes, {refused} of {requests} requests refused"
-        for part, (requests, changes, refused) in counts.items()
+        f"{component} {changes} changes, {refused} of {requests} requests refused"
+        for component, (requests, changes, refused) in counts.items()
     )
 
 
-def show_progress(users: Users, seconds: float, over: threading.Event) -> None:
-    """A line on standard error that tells how far it is."""
-    began = time.monotonic()
-    while not over.wait(1.0):
+def show_progress(users: Users, seconds: float, finished: threading.Event) -> None:
+    """Show on standard error how far the trial is, until it is finished."""
+    started = time.monotonic()
+    while not finished.wait(1.0):
         accepted = sum(s.accepted_at is not None for s in users.submissions)
-        passed = time.monotonic() - began
+        elapsed_s = time.monotonic() - started
         print(
-            f"\r{passed:4.0f} of {seconds:.0f} s: {len(users.submissions)} submitted, {accepted} accepted",
+            f"\r{elapsed_s:4.0f} of {seconds:.0f} s: {len(users.submissions)} submitted, {accepted} accepted",
             end="",
             file=sys.stderr,
             flush=True,
@@ -133,53 +139,89 @@
     print("\r" + " " * 70 + "\r", end="", file=sys.stderr, flush=True)
 
 
-def trial(times: float, seconds: float, seed: int, admission: bool, ends: bool, folder: Path) -> bool:
-    """One run; prints its table. Whether the checks found nothing."""
-    script = KEEP_IDLE + f"admission = {admission}\nadmission_clear_s = 5.0\n"
-    rng = random.Random(seed)
+@dataclass(frozen=True, slots=True)
+class Setup:
+    """One run: `times` what the site serves, for so long. `kill`: whether controllers are killed."""
+
+    times: float
+    seconds: float
+    seed: int
+    admission: bool
+    kill: bool
+
+    @property
+    def settle_s(self) -> float:
+        """Seconds for which the users retry after the flood."""
+        return SETTLE_S if self.times > 1 else 8.0
+
+    def title(self) -> str:
+        """The line above the table."""
+        return (
+            f"{self.times:g} times what the site serves, {self.seconds:.0f} s, seed {self.seed}, admission "
+            f"{'on' if self.admission else 'off'}{', controllers end' if self.kill else ''}"
+        )
+
+
+def trial(setup: Setup, folder: Path) -> bool:
+    """One run; prints its table. Whether the checks found no violation."""
+    script = KEEP_IDLE + f"admission = {setup.admission}\nadmission_clear_s = 5.0\n"
     state = StateService(RPS, WRITE_RPS)
     with Site(folder, script, MACHINES, teams=TEAMS, state=state) as site:
         for n in range(MACHINES):
             site.fleet.launch(KIND, "north" if n % 2 else "south", True)
-        await_state(lambda: site.leader() is not None, "an owner")
+        await_state(lambda: site.leader() is not None, "a leader")
         time.sleep(2.0)
-        users = Users(site, seed)
-        over = threading.Event()
-        settle_s = SETTLE_S if times > 1 else 8.0
-        threading.Thread(target=show_progress, args=(users, seconds + settle_s, over), daemon=True).start()
-        if ends:
-            threading.Thread(target=end_controllers, args=(site, seconds), daemon=True).start()
-        began, changes = time.monotonic(), state.changes
-        per_s = SERVED_PER_S * times
-        users.flood(lambda n: make_job(rng, n, per_s), per_s, seconds, RUN_S)
-        flood_s, written = time.monotonic() - began, state.changes - changes
-        time.sleep(settle_s)
-        over.set()
-        users.close()
-        time.sleep(16.0 if times > 1 else 6.0)  # the rest ends, and the controllers log their counts
-        print(
-            f"{times:g} times what the site serves, {seconds:.0f} s, seed {seed}, admission "
-            f"{'on' if admission else 'off'}{', controllers end' if ends else ''}"
-        )
-        print(
-            "  class           offered accepted refused    503 given up   done   "
-            "wait 50, 90, 99%   after acceptance"
-        )
-        for job_class in ("hot-builds", "rebuild-sweep", "mirror-trickle"):
-            print(class_line(site, job_class, users.submissions))
-        print(
-            f"  state service: {written / flood_s:.1f} changes a second in the flood, "
-            f"{state.refused} requests refused, "
-            f"{state.longest_unrenewed_s:.1f} s the longest without a renewed lease"
-        )
-        print(f"  {requests_line(site)}", flush=True)
-        flows = {s.job["id"]: flow_of(s.job) for s in users.submissions}
-        history = state.history()
-        wrong = [*against_level(history, flows), *refused_wrongly(history, users.all_answers(), flows)]
-        twice = ran_twice(site.fleet.history)
-        if wrong or twice:
-            print(f"  WRONG: against their level {wrong[:5]}; ran twice {twice[:5]}")
-        return not wrong and not twice
+        users = Users(site, setup.seed)
+        writes_per_s = run_flood(site, users, setup)
+        time.sleep(16.0 if setup.times > 1 else 6.0)  # the rest ends, and the controllers log their counts
+        print_results(site, users, setup, writes_per_s)
+        return print_violations(site, users)
+
+
+def run_flood(site: Site, users: Users, setup: Setup) -> float:
+    """Submit until the flood is over and users have settled; changes of the store a second in the flood."""
+    rng = random.Random(setup.seed)
+    finished = threading.Event()
+    show = (users, setup.seconds + setup.settle_s, finished)
+    threading.Thread(target=show_progress, args=show, daemon=True).start()
+    if setup.kill:
+        threading.Thread(target=kill_controllers, args=(site, setup.seconds), daemon=True).start()
+    started, changes = time.monotonic(), site.state.changes
+    per_s = SERVED_PER_S * setup.times
+    users.flood(lambda n: make_job(rng, n, per_s), per_s, setup.seconds, RUN_S)
+    writes_per_s = (site.state.changes - changes) / (time.monotonic() - started)
+    time.sleep(setup.settle_s)
+    finished.set()
+    users.close()
+    return writes_per_s
+
+
+def print_results(site: Site, users: Users, setup: Setup, writes_per_s: float) -> None:
+    """The table of classes, and the load of the state service."""
+    print(setup.title())
+    print(
+        "  class           offered accepted refused    503 given up   done   "
+        "wait 50, 90, 99%   after acceptance"
+    )
+    for job_class in ("hot-builds", "rebuild-sweep", "mirror-trickle"):
+        print(class_line(site, job_class, users.submissions))
+    print(
+        f"  state service: {writes_per_s:.1f} changes a second in the flood, "
+        f"{site.state.refused} requests refused, "
+        f"{site.state.longest_unrenewed_s:.1f} s the longest without a renewed lease"
+    )
+    print(f"  {requests_line(site)}", flush=True)
+
+
+def print_violations(site: Site, users: Users) -> bool:
+    """Check the histories of admission and of task attempts. Whether they hold no violation."""
+    flows = {s.job["id"]: flow_of(s.job) for s in users.submissions}
+    history = site.state.history()
+    violations = [*against_level(history, flows), *refused_wrongly(history, users.all_answers(), flows)]
+    twice = ran_twice(site.fleet.history)
+    if violations or twice:
+        print(f"  WRONG: against their level {violations[:5]}; ran twice {twice[:5]}")
+    return not violations and not twice
 
 
 def main() -> int:
@@ -191,13 +233,14 @@
     parser.add_argument("--admission", choices=["off", "on"], nargs="+", default=["on"])
     parser.add_argument("--ends", action="store_true")
     args = parser.parse_args()
-    good = True
+    passed = True
     for times in args.times:
         for admission in args.admission:
             for seed in args.seeds:
                 with tempfile.TemporaryDirectory() as folder:
-                    good &= trial(times, args.seconds, seed, admission == "on", args.ends, Path(folder))
-    return 0 if good else 1
+                    setup = Setup(times, args.seconds, seed, admission == "on", args.ends)
+                    passed &= trial(setup, Path(folder))
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/tools/leader_cost.py
+++ b/tools/leader_cost.py
@@ -1,10 +1,18 @@
 """What a leader's decisions cost by the size of the fleet: processor time and memory, in memory alone.
 
-    python3 tools/owner_cost.py [--machines 48 500 4000] [--seed 1] [--spread]
+    python3 tools/leader_cost.py [--machines 48 500 4000] [--seed 1]
 
 Builds the scheduler of one controller with that many simulated machines of four CPUs, without sockets and
-threads, and runs it through a start, a full fleet with a backlog, and a fleet of which one machine in twenty
-has room. Each size runs in a process of its own. Figures are processor time of this machine, not simulated.
+threads, and runs it through a start and a full fleet with a backlog, at first of normal, then of urgent
+priority. Each size runs in a process of its own. Figures are processor time of this machine, not simulated:
+
+start ms     one scheduling round that places the first tasks on an idle fleet (`placed` of them)
+full ms      a round on the full fleet with a backlog, the median of 9
+urgent ms    a round with urgent jobs in the backlog, the maximum of 9
+report us    a heartbeat and its response, the mean over the fleet, the median of 3
+fleet ms     an autoscaling step, the median of 5
+MB           resident memory that the fleet and its work added
+writes       transactions that made the placements durable; rows: rows of the task log then
 """
 
 import argparse
@@ -30,7 +38,7 @@
 from bayford.storage import records  # noqa: E402
 from bayford.storage.task_log import TaskLog  # noqa: E402
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 CPUS = 4.0
 TYPE = MachineType("four", CPUS, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"), 40.0)
@@ -65,25 +73,25 @@
 
 
 class SimulatedFleet:
-    """An engine that owns `count` machines, and the task log that it writes."""
+    """A leader's scheduler with `count` machines, and the task log that it writes."""
 
     def __init__(self, count: int, seed: int, policy: Policy) -> None:
         self.now = 1000.0
         settings: Settings = parse(SETTINGS)
         self.scheduler = Scheduler(settings, policy, lambda: self.now, lambda: self.now, random.Random(seed))
-        self.task_log = TaskLog(settings_bytes())
+        self.task_log = TaskLog(value_bytes())
         self.scheduler.connect(self, LeaderListener())
         self.rng = random.Random(seed)
         self.version = 1
         self.jobs = 0
-        self.ticks = dict.fromkeys((f"vm-{n:06d}" for n in range(count)), 0)
+        self.sequences = dict.fromkeys((f"vm-{n:06d}" for n in range(count)), 0)
         self.scheduler.set_types([TYPE])
         self.scheduler.recover(RecoveredState(term=1, fencing_token=1, as_of=self.now))
-        self.scheduler.on_list([self._listed(n, name) for n, name in enumerate(self.ticks)], self.now)
-        for name in self.ticks:
+        self.scheduler.on_list([self._listed(n, name) for n, name in enumerate(self.sequences)], self.now)
+        for name in self.sequences:
             self.heartbeat(name)
 
-    def with_task_log(self, call: Callable[[TaskLog], T]) -> T:
+    def with_task_log(self, call: Callable[[TaskLog], Result]) -> Result:
         """See `TaskLogSource`."""
         return call(self.task_log)
 
@@ -91,56 +99,58 @@
         return Listed(name, "10.0.0.1:9", TYPE.name, TYPE.zones[n % 2], True, "running", 30.0)
 
     def heartbeat(self, name: str) -> None:
-        """One heartbeat of a machine on which all that was placed there runs, and its answer."""
+        """One heartbeat of a machine, on which all durable placements run, and the response to it."""
         scheduler = self.scheduler
-        self.ticks[name] += 1
+        self.sequences[name] += 1
         machine = scheduler.state.machines.get(scheduler.state.machine_names.index(name))
         placements = list(machine.open.values()) if machine is not None else []
-        states = [workers.TaskState(p.task_id, p.attempt, workers.RUNNING) for p in placements if p.durable]
+        task_states = [
+            workers.TaskState(p.task_id, p.attempt, workers.RUNNING) for p in placements if p.durable
+        ]
         zone = TYPE.zones[int(name[3:]) % 2]
         heartbeat = workers.Heartbeat(
-            name, "10.0.0.1:9", TYPE.name, zone, True, 1, self.ticks[name], 1, states
+            name, "10.0.0.1:9", TYPE.name, zone, True, 1, self.sequences[name], 1, task_states
         )
         index = scheduler.on_heartbeat(heartbeat, self.now)
-        assert index is not None, f"the report of {name} was not taken in"
+        assert index is not None, f"the heartbeat of {name} was refused"
         scheduler.hold_s(index)
         commands, _ = scheduler.commands_for(index, self.now)
         scheduler.on_answered(index, heartbeat, commands)
 
-    def report_all(self, names: list[str]) -> None:
+    def heartbeat_all(self, names: list[str]) -> None:
         """A heartbeat of each of these machines."""
         for name in names:
             self.heartbeat(name)
 
     def submit(self, tasks: int, priority: str = "normal", cpus: float = 1.0, images: int = 40) -> None:
-        """A job of that many tasks, its image one of `images`."""
+        """Submit a job of that many tasks; its image is drawn from `images` ones."""
         self.jobs += 1
         self.version += 1
         spec = JobSpec(
-            f"req-{self.jobs:06d}",
-            f"class-{priority}",
-            "open",
-            PRIORITIES.index(priority),
-            tasks,
-            cpus,
-            0.0,
-            2.0,
-            f"img-{self.rng.randrange(images)}",
-            1.0,
-            None,
-            None,
-            False,
-            False,
-            True,
-            300.0,
-            0.0,
-            0.0,
-            None,
+            id=f"req-{self.jobs:06d}",
+            job_class=f"class-{priority}",
+            team="open",
+            priority=PRIORITIES.index(priority),
+            tasks=tasks,
+            cpus=cpus,
+            gpus=0.0,
+            mem_gb=2.0,
+            image=f"img-{self.rng.randrange(images)}",
+            image_gb=1.0,
+            types=None,
+            zone=None,
+            one_zone=False,
+            spread=False,
+            spot=True,
+            estimate_s=300.0,
+            checkpoint_interval_s=0.0,
+            checkpoint_save_s=0.0,
+            deadline_s=None,
         )
         self.scheduler.reconcile_job(records.Record(spec, self.now), self.version)
 
-    def compare_and_swap(self) -> int:
-        """Write all that has changed; how many transactions that took."""
+    def commit_all(self) -> int:
+        """Make all changes durable; the number of transactions that took."""
         count = 0
         while (batch := self.scheduler.take_batch(TXN_OPS)) is not None:
             self.version += 1
@@ -152,30 +162,30 @@
         return count
 
     def round(self) -> None:
-        """One scheduling round, some time after the one before."""
+        """One scheduling round, ROUND_S of simulated time after the previous one."""
         self.now += ROUND_S
         self.scheduler.round()
 
 
-def settings_bytes() -> int:
-    """Bytes of a value of the state service."""
+def value_bytes() -> int:
+    """The largest value that the state service takes, in bytes."""
     return int(VALUE_KB * 1024)
 
 
-def milliseconds(
-    call: Callable[[], object], times: int, of: Callable[[list[float]], float] = statistics.median
+def cpu_ms(
+    call: Callable[[], object], times: int, statistic: Callable[[list[float]], float] = statistics.median
 ) -> float:
-    """Processor time of a call, the median of some calls or what `of` makes of them."""
-    took = []
+    """Processor time of a call in ms: the median, or another `statistic`, of so many calls."""
+    durations_ms = []
     for _ in range(times):
-        began = time.process_time()
+        began_s = time.process_time()
         call()
-        took.append((time.process_time() - began) * 1e3)
-    return of(took)
+        durations_ms.append((time.process_time() - began_s) * 1e3)
+    return statistic(durations_ms)
 
 
 def memory_mb() -> float:
-    """What this process holds at present."""
+    """Resident memory of this process in MB, 0 where /proc doesn't say."""
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
@@ -183,33 +193,34 @@
 
 
 def measure(count: int, seed: int, policy: Policy) -> str:
-    """A line of figures for a fleet of `count` machines."""
-    before = memory_mb()
+    """The line of the table for a fleet of `count` machines."""
+    memory_before_mb = memory_mb()
     fleet = SimulatedFleet(count, seed, policy)
-    whole = int(count * CPUS)
-    first = 20 * 40  # the same work for every size, on an idle fleet
+    total_cpus = int(count * CPUS)
+    initial_tasks = 20 * 40  # the same for every size, if the fleet can hold them
     for _ in range(20):
-        fleet.submit(min(40, whole // 24))
-    start_ms = milliseconds(fleet.round, 1)
-    while sum(len(m.open) for m in fleet.scheduler.state.machines.values()) < whole:
+        fleet.submit(min(40, total_cpus // 24))
+    start_ms = cpu_ms(fleet.round, 1)
+    while sum(len(m.open) for m in fleet.scheduler.state.machines.values()) < total_cpus:
         fleet.submit(200)
         fleet.round()
-    transactions = fleet.compare_and_swap()
-    names = list(fleet.ticks)
+    transactions = fleet.commit_all()
+    names = list(fleet.sequences)
     for name in names:
         fleet.heartbeat(name)
-    report_us = milliseconds(lambda: fleet.report_all(names), 3) / count * 1e3
+    report_us = cpu_ms(lambda: fleet.heartbeat_all(names), 3) / count * 1e3
     for _ in range(10):
         fleet.submit(40)
-    full_ms = milliseconds(fleet.round, 9)
+    full_ms = cpu_ms(fleet.round, 9)
     for _ in range(10):
         fleet.submit(40, "urgent")
-    urgent_ms = milliseconds(fleet.round, 9, max)  # victims are not looked for in every round
-    fleet_ms = milliseconds(lambda: fleet.scheduler.scaling_step(fleet.now), 5)
+    urgent_ms = cpu_ms(fleet.round, 9, max)  # not every round searches for tasks to preempt
+    fleet_ms = cpu_ms(lambda: fleet.scheduler.scaling_step(fleet.now), 5)
     rows = len(fleet.task_log.window)
+    placed = min(initial_tasks, total_cpus)
     return (
         f"{count:6d} {start_ms:9.1f} {full_ms:9.2f} {urgent_ms:9.2f} {report_us:10.0f} {fleet_ms:9.2f} "
-        f"{memory_mb() - before:8.1f} {transactions:7d} {rows:6d} {min(first, whole):7d}"
+        f"{memory_mb() - memory_before_mb:8.1f} {transactions:7d} {rows:6d} {placed:7d}"
     )
 
 
@@ -219,7 +230,7 @@
 
 
 def main() -> None:
-    """Print a table, a line for each size."""
+    """Print a table with a line for each size."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--machines", type=int, nargs="+", default=[48, 500, 4000])
     parser.add_argument("--seed", type=int, default=1)
--- a/tools/spread_trial.py
+++ b/tools/spread_trial.py
@@ -2,7 +2,7 @@
 
     python3 tools/spread_trial.py [--seeds 1 2] [--variants off locality balance both]
 
-Real controllers and stand-in workers on loopback. Mirror jobs that can save run on five machines; fifteen
+Real controllers and stand-in workers on loopback. Mirror jobs with checkpoints run on five machines; fifteen
 more machines join, and a burst of urgent builds comes whose images lie on three of them. Prints, for each
 run, the highest load over the average through the burst, waits, fetches and restarts. Not for CI.
 """
@@ -13,6 +13,7 @@
 import sys
 import tempfile
 import time
+from dataclasses import dataclass, field
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
@@ -27,68 +28,93 @@
     "balance": ON + "spread_fetch_weight = 0.0\nspread_affinity_s = 0.0\n",
     "both": ON,
 }
-FIRST, MACHINES = 5, 20
+INITIAL_MACHINES, MACHINES = 5, 20
 IMAGE_GB = 1.0
 BURST_S = 30.0
 
 
+@dataclass(slots=True)
+class Burst:
+    """What was measured during a burst of builds; times on the steady clock."""
+
+    submitted_at: dict[str, float] = field(default_factory=dict)  # by job
+    started_at: dict[str, float] = field(default_factory=dict)  # by task
+    load_ratios: list[float] = field(default_factory=list)  # the highest load over the average, ten a second
+
+
 def trial(script: str, seed: int, folder: Path) -> str:
-    """A line of figures for one run."""
-    rng = random.Random(seed)
+    """The line of the table for one run."""
     with Site(folder, script, MACHINES) as site:
-        for _ in range(FIRST):
+        for _ in range(INITIAL_MACHINES):
             site.fleet.launch(KIND, "north", True)
-        mirrors = [
-            job(
-                500 + n,
-                f"mirror-{n}",
-                10,
-                "mirror-trickle",
-                rank="idle",
-                bookmark_s=2.0,
-                stash_s=0.5,
-                size_gb=IMAGE_GB,
-                guess_s=120.0,
-            )
-            for n in range(4)
-        ]
-        for each in mirrors:
-            site.submit(each, run_s=60.0)
-        await_state(lambda: max(site.fleet.loads().values()) == 1.0, "mirror jobs run")
-        time.sleep(6.0)
-        for n in range(MACHINES - FIRST):
+        start_mirrors(site)
+        for n in range(MACHINES - INITIAL_MACHINES):
             site.fleet.launch(KIND, "south", True, (f"img-{n}",) if n < 3 else ())
-        submitted: dict[str, float] = {}
-        begun: dict[str, float] = {}
-        highest: list[float] = []
-        began = time.monotonic()
-        builds = 0
-        while (now := time.monotonic()) - began < BURST_S:
-            if builds < 24 and now - began > 4.0 + builds * 0.5:
-                each = job(builds, f"img-{rng.randrange(3)}", rng.randrange(1, 5), size_gb=IMAGE_GB)
-                submitted[each["id"]] = time.monotonic()
-                site.submit(each, run_s=rng.uniform(4.0, 12.0))
-                builds += 1
-            loads = list(site.fleet.loads().values())
-            average = sum(loads) / len(loads)
-            if average > 0 and now - began > 4.0:
-                highest.append(max(loads) / average)
-            for event in list(site.fleet.history):
-                if event.what == "running":
-                    begun.setdefault(event.task_id, time.monotonic())
-            time.sleep(0.1)
-        waits = [at - submitted[part[:10]] for part, at in begun.items() if part[:10] in submitted]
-        moved = [e.task_id for e in site.fleet.history if e.what == "halted"]
-        fetches = len(site.fleet.fetches)
-        return (
-            f"{statistics.mean(highest):9.2f} {max(highest):8.2f} {statistics.mean(waits):9.2f} "
-            f"{max(waits):9.2f} {len(waits):6d} {fetches:8d} {fetches * IMAGE_GB:6.0f} {len(moved):6d} "
-            f"{max((moved.count(p) for p in set(moved)), default=0):10d}"
+        burst = run_burst(site, random.Random(seed))
+        return results_line(site, burst)
+
+
+def start_mirrors(site: Site) -> None:
+    """Run mirror jobs that take checkpoints until a machine is full."""
+    mirrors = [
+        job(
+            500 + n,
+            f"mirror-{n}",
+            10,
+            "mirror-trickle",
+            rank="idle",
+            bookmark_s=2.0,
+            stash_s=0.5,
+            size_gb=IMAGE_GB,
+            guess_s=120.0,
         )
+        for n in range(4)
+    ]
+    for mirror in mirrors:
+        site.submit(mirror, run_s=60.0)
+    await_state(lambda: max(site.fleet.loads().values()) == 1.0, "mirror jobs run")
+    time.sleep(6.0)
+
+
+def run_burst(site: Site, rng: random.Random) -> Burst:
+    """Submit urgent builds for BURST_S, the first after 4 s, and watch loads and starts."""
+    burst = Burst()
+    began = time.monotonic()
+    builds = 0
+    while (now := time.monotonic()) - began < BURST_S:
+        if builds < 24 and now - began > 4.0 + builds * 0.5:
+            build = job(builds, f"img-{rng.randrange(3)}", rng.randrange(1, 5), size_gb=IMAGE_GB)
+            burst.submitted_at[build["id"]] = time.monotonic()
+            site.submit(build, run_s=rng.uniform(4.0, 12.0))
+            builds += 1
+        loads = list(site.fleet.loads().values())
+        average = sum(loads) / len(loads)
+        if average > 0 and now - began > 4.0:
+            burst.load_ratios.append(max(loads) / average)
+        for event in list(site.fleet.history):
+            if event.what == "running":
+                burst.started_at.setdefault(event.task_id, time.monotonic())
+        time.sleep(0.1)
+    return burst
+
+
+def results_line(site: Site, burst: Burst) -> str:
+    """Loads, waits, fetches and restarts, in columns."""
+    submitted_at, ratios = burst.submitted_at, burst.load_ratios
+    waits = [
+        at - submitted_at[task[:10]] for task, at in burst.started_at.items() if task[:10] in submitted_at
+    ]
+    moved = [event.task_id for event in site.fleet.history if event.what == "halted"]
+    fetches = len(site.fleet.fetches)
+    return (
+        f"{statistics.mean(ratios):9.2f} {max(ratios):8.2f} {statistics.mean(waits):9.2f} "
+        f"{max(waits):9.2f} {len(waits):6d} {fetches:8d} {fetches * IMAGE_GB:6.0f} {len(moved):6d} "
+        f"{max((moved.count(task_id) for task_id in set(moved)), default=0):10d}"
+    )
 
 
 def main() -> None:
-    """Print a table, a line for each run."""
+    """Print a table with a line for each run."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2])
     parser.add_argument("--variants", nargs="+", choices=list(VARIANTS), default=list(VARIANTS))
--- a/tools/zone_trial.py
+++ b/tools/zone_trial.py
@@ -2,7 +2,7 @@
 
     python3 tools/zone_trial.py [--machines 12] [--seeds 1 2]
 
-Half of the machines stand in the zone that is cut off, each half full, so that the others can take its work.
+Half of the machines are in the zone that is cut off, each half full, so that the others can take its work.
 Real controllers and stand-in workers on loopback, a lease of 6 s. Prints the seconds from the cut to the last
 affected task running again, from the return to each class being served, and how often tasks were run again.
 """
@@ -27,11 +27,11 @@
     "on": "recovery = True\nreturn_order = ['hot-builds', 'rebuild-sweep', 'mirror-trickle']\n",
 }
 CLASSES = ["mirror-trickle", "rebuild-sweep", "hot-builds"]  # as they are submitted
-WAIT_S = 300.0
+TIMEOUT_S = 300.0
 
 
 def trial(script: str, machines: int, seed: int, folder: Path) -> str:
-    """A line of figures for one run."""
+    """The line of the table for one run."""
     rng = random.Random(seed)
     with Site(folder, script + KEEP_IDLE, machines // 2, lease_s=6.0) as site:  # nothing more to launch
 
@@ -44,32 +44,34 @@
             site.fleet.launch(KIND, "south" if n % 2 else "north", True)
         tasks = machines * int(KIND.cpus) // 2
         site.submit(job(0, "img-0", tasks, "mirror-trickle", rank="idle"), run_s=1e9)
-        await_state(lambda: running("req-000000") == tasks, "all tasks run", WAIT_S)
+        await_state(lambda: running("req-000000") == tasks, "all tasks run", TIMEOUT_S)
         time.sleep(8.0 + rng.random())  # longer than a lease
         site.fleet.cut_zone("south", away=True)
         cut_at = time.monotonic()
-        await_state(lambda: running("req-000000") == tasks, "all tasks run elsewhere", WAIT_S)
+        await_state(lambda: running("req-000000") == tasks, "all tasks run elsewhere", TIMEOUT_S)
         again_s = time.monotonic() - cut_at
         for number, name in enumerate(CLASSES, 1):
             site.submit(job(number, f"img-{number}", machines * 2, name, yard="south", rank="normal"), 1e9)
         site.fleet.cut_zone("south", away=False)
         for _ in range(machines // 2):
             site.fleet.launch(KIND, "south", True)
-        back_at = time.monotonic()
+        returned_at = time.monotonic()
         served: dict[str, float] = {}
-        while len(served) < len(CLASSES) - 1 and time.monotonic() - back_at < 60.0:
+        while len(served) < len(CLASSES) - 1 and time.monotonic() - returned_at < 60.0:
             for number, name in enumerate(CLASSES, 1):
                 if name not in served and running(f"req-{number:06d}") == machines * 2:
-                    served[name] = time.monotonic() - back_at
+                    served[name] = time.monotonic() - returned_at
             time.sleep(0.1)
         starts = sum(event.what == "running" for event in site.fleet.history)
-        now = [running(f"req-{number:06d}") for number in range(1, 4)]
-        told = "  ".join(f"{name} {served[name]:.1f}" for name in served)
-        return f"{again_s:8.1f} {starts - tasks - sum(now):8d}   {told}; running {now}"
+        running_now = [running(f"req-{number:06d}") for number in range(1, 4)]
+        served_columns = "  ".join(f"{name} {served[name]:.1f}" for name in served)
+        return (
+            f"{again_s:8.1f} {starts - tasks - sum(running_now):8d}   {served_columns}; running {running_now}"
+        )
 
 
 def main() -> None:
-    """Print a table, a line for each run."""
+    """Print a table with a line for each run."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--machines", type=int, default=12)
     parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2])
