--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,6 +5,7 @@
 import random
 from collections.abc import Sequence
 from dataclasses import replace
+from pathlib import Path
 
 import msgspec
 import orjson
@@ -49,7 +50,7 @@
 IDS = [f"req-{n:06d}" for n in range(2000)]
 
 
-def test_the_decision_depends_on_the_level_and_the_job_alone():
+def test_the_decision_depends_on_the_level_and_the_job_alone() -> None:
     admitted = [name for name in IDS if decide(HALF_LEVEL, SWEEP, name).admitted]
     assert 0.45 < len(admitted) / len(IDS) < 0.55
     assert admitted == [
@@ -63,7 +64,7 @@
     assert admitted != [name for name in IDS if decide(other, SWEEP, name).admitted]
 
 
-def test_a_refusal_says_when_the_window_reaches_the_job():
+def test_a_refusal_says_when_the_window_reaches_the_job() -> None:
     level = HALF_LEVEL
     for name in IDS[:200]:
         left = levels_until(level, level.windows[0], position(KEY, name))
@@ -78,7 +79,7 @@
 
 
 @pytest.mark.parametrize("floor", [0.05, 0.3, 1.0])
-def test_a_repeated_submission_is_admitted_after_a_bounded_number_of_levels(floor):
+def test_a_repeated_submission_is_admitted_after_a_bounded_number_of_levels(floor: float) -> None:
     """The narrowest windows, step by step; the bound is the one that docs/admission.md states."""
     narrowest = window_width(floor, TIMES.turn_s)
     bound = most_levels(floor, TIMES.interval_s, TIMES.turn_s)
@@ -87,7 +88,7 @@
         assert levels_until(level, level.windows[0], position_at) < bound
 
 
-def test_no_sequence_of_widths_skips_a_position():
+def test_no_sequence_of_widths_skips_a_position() -> None:
     """Proved for any widths: no position is skipped between one window and the next, since the next one
     starts within the one before (z3 finds no counterexample)."""
     start, width, following, position_at = z3.Ints("start width following where")
@@ -116,13 +117,13 @@
     return Allotment(capacity, demand, guarantees or {}, floors or Floors(0.05)).divide(exempt)
 
 
-def test_urgent_classes_are_served_first_and_each_class_keeps_its_floor():
+def test_urgent_classes_are_served_first_and_each_class_keeps_its_floor() -> None:
     rates = divide({SWEEP: 100.0, BUILD: 30.0, Flow(0, "mirror", "red"): 50.0})
     assert rates[BUILD] == pytest.approx(9.0, abs=0.01)
     assert rates[SWEEP] == pytest.approx(0.5) and rates[Flow(0, "mirror", "red")] == pytest.approx(0.5)
 
 
-def test_the_team_furthest_above_its_guarantee_is_refused_first():
+def test_the_team_furthest_above_its_guarantee_is_refused_first() -> None:
     red, blue, green = (Flow(1, "sweep", team) for team in ("red", "blue", "green"))
     rates = divide({red: 100.0, blue: 3.0, green: 2.0}, guarantees={"red": 4.0, "blue": 4.0})
     assert rates[blue] == pytest.approx(3.0) and rates[red] == pytest.approx(5.5, abs=0.6)
@@ -132,7 +133,7 @@
     assert rates[green] == pytest.approx(2.0), "a team within its guarantee precedes urgent jobs of others"
 
 
-def test_a_flood_of_one_team_in_the_urgent_class_takes_nothing_from_other_teams():
+def test_a_flood_of_one_team_in_the_urgent_class_takes_nothing_from_other_teams() -> None:
     red, blue, green = (Flow(2, "build", team) for team in ("red", "blue", "green"))
     rates = divide({red: 100.0, blue: 1.0, green: 0.5, SWEEP: 5.0}, guarantees={"red": 5.0, "blue": 5.0})
     assert rates[blue] == pytest.approx(1.0) and rates[green] == pytest.approx(0.5)
@@ -144,7 +145,7 @@
 
 @given(st.dictionaries(FLOWS, st.floats(0.01, 100), min_size=1), st.floats(0.5, 50))
 @settings(derandomize=True, max_examples=150)
-def test_an_allotment_divides_no_more_than_the_capacity(demand, capacity):
+def test_an_allotment_divides_no_more_than_the_capacity(demand: dict[Flow, float], capacity: float) -> None:
     rates = divide(demand, capacity)
     assert sum(rates.values()) <= capacity * 1.0001
     assert all(-1e-9 <= rates[flow] <= demand[flow] * 1.0001 for flow in demand)
@@ -181,7 +182,7 @@
         return self.level
 
 
-def test_refusing_begins_above_the_capacity_and_ends_without_oscillation():
+def test_refusing_begins_above_the_capacity_and_ends_without_oscillation() -> None:
     simulation = SimulatedDemand()
     assert simulation.run(30, {SWEEP: 6.0}) is None, "a fifth above the capacity is tolerated"
     level = simulation.run(20, {SWEEP: 50.0, BUILD: 2.0}, {SWEEP: 3.0, BUILD: 2.0})
@@ -202,7 +203,7 @@
     assert len(simulation.levels) == before, "everything stays admitted"
 
 
-def test_the_widths_follow_the_rate_of_acceptances():
+def test_the_widths_follow_the_rate_of_acceptances() -> None:
     narrow, wide = SimulatedDemand(), SimulatedDemand()
     narrow.run(30, {SWEEP: 20.0}, {SWEEP: 15.0})
     wide.run(30, {SWEEP: 20.0}, {SWEEP: 1.0})
@@ -210,14 +211,14 @@
     assert narrow.level.windows[0].width >= window_width(0.05, TIMES.turn_s), "the floor"
 
 
-def test_a_long_backlog_makes_the_level_refuse_that_class():
+def test_a_long_backlog_makes_the_level_refuse_that_class() -> None:
     simulation = SimulatedDemand()
     assert simulation.run(20, {SWEEP: 1.0}) is None
     level = simulation.run(20, {SWEEP: 1.0, BUILD: 1.0}, backlog={2: 10.0, 1: 3600.0})
     assert level.reason == BACKLOG and [w.flow for w in level.windows] == [SWEEP] and level.accept_rps == 0
 
 
-def test_a_new_leader_changes_no_width_before_it_has_observed_the_demand():
+def test_a_new_leader_changes_no_width_before_it_has_observed_the_demand() -> None:
     simulation = SimulatedDemand()
     simulation.run(20, {SWEEP: 50.0})
     before = simulation.level
@@ -231,7 +232,7 @@
     assert simulation.level.windows[0].start != before.windows[0].start, "but the window moves on"
 
 
-def test_a_level_fits_into_a_value_and_keeps_its_narrowest_windows():
+def test_a_level_fits_into_a_value_and_keeps_its_narrowest_windows() -> None:
     windows = tuple(Window(1, "sweep", f"team-{n:03d}", 0, 100 + n) for n in range(500))
     level = msgspec.structs.replace(HALF_LEVEL, windows=windows)
     value = encode(level, 4096)
@@ -243,12 +244,12 @@
 @pytest.mark.parametrize(
     "change", [{"v": 2}, {"key": "x"}, {"key": "07"}, {"windows": 3}, {"turn_s": 0}, {"number": "a"}]
 )
-def test_a_value_that_is_no_level_of_this_form_is_unreadable(change):
+def test_a_value_that_is_no_level_of_this_form_is_unreadable(change: dict[str, object]) -> None:
     with pytest.raises(UnreadableLevelError):
         decode(encode(HALF_LEVEL, 4096) | change)
 
 
-def test_a_level_counts_only_if_every_live_controller_has_the_feature():
+def test_a_level_counts_only_if_every_live_controller_has_the_feature() -> None:
     members = [Row(records.MEMBERS + name, f"i-{name}", 1) for name in ("n0", "n1")]
     stored_features = {
         name: Row(records.FEATURES + name, features.value(f"i-{name}", ["admission"]), 1)
@@ -265,7 +266,7 @@
     ]
 
 
-def test_jobs_are_counted_once_wherever_their_submission_is_repeated():
+def test_jobs_are_counted_once_wherever_their_submission_is_repeated() -> None:
     demand = DistinctDemand(10.0)
     nodes = {name: SubmittedJobs() for name in ("n0", "n1", "n2")}
     rng = random.Random(3)
@@ -287,7 +288,7 @@
     assert other.rates(99.0) == {}, "a new leader counts no old job as new"
 
 
-def test_rates_and_the_capacity_for_acceptances():
+def test_rates_and_the_capacity_for_acceptances() -> None:
     rates: Rates[str] = Rates(10.0)
     for second in range(20):
         rates.note("a", float(second), 3)
@@ -307,7 +308,7 @@
     )
 
 
-def test_the_acceptance_rate_follows_the_store_and_reserves_some_for_urgent_jobs():
+def test_the_acceptance_rate_follows_the_store_and_reserves_some_for_urgent_jobs() -> None:
     now = [0.0]
     limiter = AcceptanceRateLimiter(10.0, lambda: now[0])
     for _ in range(8):
@@ -326,7 +327,7 @@
     assert sum(limiter.take(True, 3.0) for _ in range(20)) == 3, "the rate of the level, if that is less"
 
 
-def test_requests_that_are_not_urgent_leave_a_share_of_the_concurrency_limit():
+def test_requests_that_are_not_urgent_leave_a_share_of_the_concurrency_limit() -> None:
     limit = ConcurrencyLimit(start=8.0)
     with contextlib.ExitStack() as entered:
         assert [entered.enter_context(limit.enter(0.75)) for _ in range(7)] == [True] * 6 + [False]
@@ -339,7 +340,9 @@
     ]
 
 
-def test_the_admission_command_shows_the_level_or_says_why_not(tmp_path, capsys):
+def test_the_admission_command_shows_the_level_or_says_why_not(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     service = StateService()
     path = tmp_path / "settings.toml"
     path.write_text(VALID_SETTINGS.replace("127.0.0.1:5", service.address))
@@ -360,7 +363,7 @@
     assert cli.main(command) == 1 and "is out" in capsys.readouterr().err
 
 
-def test_the_report_of_a_level():
+def test_the_report_of_a_level() -> None:
     assert "no level" in level_report.as_text(None, [])
     text = level_report.as_text(HALF_LEVEL, ["n1"])
     assert "refusing for submissions" in text and "sweep (normal) of red: 50.0%" in text and "n1" in text
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -120,7 +120,9 @@
     return answers
 
 
-def test_three_controllers_give_the_same_answer_while_the_level_changes(cluster, monkeypatch):
+def test_three_controllers_give_the_same_answer_while_the_level_changes(
+    cluster: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A controller reads the old level just before the new one is written: its acceptance must fail."""
     publish(cluster, encode(level(0.5), 4096))
     strict = level(0.1, 2)
@@ -144,7 +146,7 @@
     assert records.key(f"req-{number:06d}") not in cluster.state.rows
 
 
-def test_a_restarted_controller_answers_by_the_stored_level(cluster):
+def test_a_restarted_controller_answers_by_the_stored_level(cluster: World) -> None:
     revision = publish(cluster, encode(level(0.1), 4096))
     number = refused_number(level(0.1))
     cluster.boot("n2")
@@ -152,7 +154,7 @@
 
 
 @pytest.mark.parametrize("fault", ["lost", "refuses", "blind"])
-def test_a_controller_without_the_store_decides_nothing_by_an_old_level(cluster, fault):
+def test_a_controller_without_the_store_decides_nothing_by_an_old_level(cluster: World, fault: str) -> None:
     publish(cluster, encode(level(0.5), 4096))
     admitted = next(n for n in range(1, 99) if decide(level(0.5), SWEEP, f"req-{n:06d}").admitted)
     assert submit(cluster, "n2", refused_number(level(0.5))).status == 429
@@ -162,7 +164,7 @@
     assert submit(cluster, "n2", refused_number(level(0.5))).status == 503
 
 
-def test_a_level_that_is_applied_after_its_successors_has_no_effect(cluster):
+def test_a_level_that_is_applied_after_its_successors_has_no_effect(cluster: World) -> None:
     leader = cluster.leader()
     flood(cluster, 6, 1)
     cluster.state.hold.add(leader)
@@ -178,7 +180,7 @@
     assert cluster.state.rows[records.ADMISSION] == before
 
 
-def test_an_acceptance_whose_response_was_lost_remains_valid_under_a_stricter_level(cluster):
+def test_an_acceptance_whose_response_was_lost_remains_valid_under_a_stricter_level(cluster: World) -> None:
     number = refused_number(level(0.1))
     cluster.state.lose_answer.add("n1")
     assert submit(cluster, "n1", number).status == 503
@@ -186,7 +188,7 @@
     assert [submit(cluster, node, number).status for node in NODES] == [200, 200, 200]
 
 
-def test_an_acceptance_that_is_applied_late_is_invalid_under_a_newer_level(cluster):
+def test_an_acceptance_that_is_applied_late_is_invalid_under_a_newer_level(cluster: World) -> None:
     number = refused_number(level(0.1))
     cluster.state.hold.add("n1")
     assert submit(cluster, "n1", number).status == 503
@@ -195,7 +197,7 @@
     assert [submit(cluster, node, number).status for node in NODES] == [429, 429, 429]
 
 
-def test_a_refusal_is_answered_at_once_and_writes_nothing(cluster):
+def test_a_refusal_is_answered_at_once_and_writes_nothing(cluster: World) -> None:
     publish(cluster, encode(level(0.1), 4096))
     number = refused_number(level(0.1))
     before = dict(cluster.state.rows)
@@ -213,7 +215,7 @@
     assert submit(cluster, "n0", number, rank="urgent", lane="build").status == 201, "another flow"
 
 
-def test_cancellations_queries_and_idempotent_requests_pass_in_a_flood(cluster):
+def test_cancellations_queries_and_idempotent_requests_pass_in_a_flood(cluster: World) -> None:
     number = refused_number(level(0.01))
     assert submit(cluster, "n0", number).status == 201
     publish(cluster, encode(level(0.01), 4096))
@@ -223,7 +225,7 @@
     assert submit(cluster, "n0", number).status == 200
 
 
-def test_invalid_submissions_do_not_count_as_demand(cluster):
+def test_invalid_submissions_do_not_count_as_demand(cluster: World) -> None:
     for number in range(1, 200):
         node = cluster.nodes[NODES[number % 3]]
         assert node.submit(submission_of(cluster, number, crew="nobody")).status == 422
@@ -235,7 +237,9 @@
 
 
 @pytest.mark.parametrize("unreadable", [None, {"v": 9}, "odd", encode(level(0.5), 4096) | {"v": 2}])
-def test_a_deleted_or_unreadable_level_admits_everything_and_is_replaced(cluster, unreadable, caplog):
+def test_a_deleted_or_unreadable_level_admits_everything_and_is_replaced(
+    cluster: World, unreadable: object, caplog: pytest.LogCaptureFixture
+) -> None:
     publish(cluster, encode(level(0.01), 4096))
     number = refused_number(level(0.01))
     assert submit(cluster, "n1", number).status == 429
@@ -248,7 +252,7 @@
     assert 429 in {answer.status for answer in answers} and stored_level(cluster).windows
 
 
-def test_a_level_is_not_in_force_beside_a_controller_without_admission(cluster):
+def test_a_level_is_not_in_force_beside_a_controller_without_admission(cluster: World) -> None:
     """A controller restarts with a release without admission, then with admission again."""
     publish(cluster, encode(level(0.01), 4096))
     number = refused_number(level(0.01))
@@ -261,7 +265,7 @@
     assert submit(cluster, "n0", refused_number(level(0.01), start=5000)).status == 429
 
 
-def test_a_flood_of_one_team_does_not_affect_the_others_and_ends():
+def test_a_flood_of_one_team_does_not_affect_the_others_and_ends() -> None:
     """Nor the urgent class and a team without a guarantee; in the end all is admitted again."""
     cluster = admission_cluster(machines=8)
     cluster.state.write_rps = 10.0
@@ -296,7 +300,7 @@
     assert against_level(history, flows) == [] and refused_wrongly(history, answers, flows) == []
 
 
-def test_completions_of_urgent_jobs_are_recorded_before_those_of_others():
+def test_completions_of_urgent_jobs_are_recorded_before_those_of_others() -> None:
     cluster = admission_cluster(machines=2)
     leader = cluster.leader()
     scheduler = cluster.nodes[leader].scheduler
@@ -319,7 +323,7 @@
     assert batch.over[0] == "req-000005" and len(batch.over) == 1
 
 
-def test_accepted_jobs_are_noted_while_the_leader_computes_a_level(cluster):
+def test_accepted_jobs_are_noted_while_the_leader_computes_a_level(cluster: World) -> None:
     """The leader's state is locked when it notes an accepted job: no deadlock with the step."""
     node = cluster.nodes[cluster.leader()]
     control, task_log = node._admission, TaskLogFacts(0, 0.0)
@@ -338,7 +342,7 @@
     assert not step.is_alive()
 
 
-def test_a_backlog_counts_only_while_the_cloud_has_no_more_machines():
+def test_a_backlog_counts_only_while_the_cloud_has_no_more_machines() -> None:
     cluster = admission_cluster(machines=2)
     leader = cluster.leader()
     scheduler = cluster.nodes[leader].scheduler
@@ -360,7 +364,7 @@
     assert scheduler.workload_facts().backlog_s == {}, "machines are launched again"
 
 
-def test_a_new_leader_continues_the_level_during_a_flood(cluster):
+def test_a_new_leader_continues_the_level_during_a_flood(cluster: World) -> None:
     answers = flood(cluster, 8, 1)
     before = stored_level(cluster)
     leader = cluster.leader()
@@ -380,7 +384,7 @@
 class AdmissionUnderFaults(RuleBasedStateMachine):
     """Three controllers, a level that changes, lost and late writes, and restarts, in any order."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         super().__init__()
         self.cluster = admission_cluster(machines=1)
         self.answers = []
@@ -440,7 +444,7 @@
 FLOWS = {REFUSED_JOB: SWEEP}
 
 
-def test_the_checks_of_histories_find_violations():
+def test_the_checks_of_histories_find_violations() -> None:
     assert against_level([LEVEL, ACCEPTANCE], FLOWS) == [REFUSED_JOB]
     assert against_level([ACCEPTANCE, LEVEL], FLOWS) == []
     assert against_level([Row(records.MEMBERS + "n0", "i", 1), LEVEL, ACCEPTANCE], FLOWS) == []
--- a/tests/test_cancellation_under_faults.py
+++ b/tests/test_cancellation_under_faults.py
@@ -28,8 +28,8 @@
 @pytest.mark.parametrize("notified", [True, False])
 @pytest.mark.parametrize("refused_s", [0.5, 1.5, 2.4])
 def test_cancelled_tasks_stop_in_time_when_first_the_leader_then_everyone_loses_the_store(
-    refused_s, notified
-):
+    refused_s: float, notified: bool
+) -> None:
     """Notified over the mesh, the leader stops them at once; otherwise the bound on the age of reads does."""
     cluster = cluster_running_a_job()
     name, leader, other = leader_and_other(cluster)
@@ -56,7 +56,7 @@
     assert {cluster.query(n, "req-000001") for n in cluster.nodes} == {"aborted"}
 
 
-def test_writes_of_a_leader_whose_reads_fail_do_not_count_as_knowledge_of_cancellations():
+def test_writes_of_a_leader_whose_reads_fail_do_not_count_as_knowledge_of_cancellations() -> None:
     """Its commits and comparisons of the leadership record succeeded, while it read nothing that other
     controllers had confirmed."""
     cluster = cluster_running_a_job(machines=4)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("mixed", [False, True])
-def test_a_hung_machine_with_cancelled_tasks_is_deleted_in_time_during_an_outage(mixed):
+def test_a_hung_machine_with_cancelled_tasks_is_deleted_in_time_during_an_outage(mixed: bool) -> None:
     """No controller is a verified leader, and a hung machine does not act on the end of its lease. It alone
     is deleted; if it runs other work too, only as late as the bound allows."""
     cluster = cluster_running_a_job(parts=2 if mixed else 8, cancel_s=30.0)
@@ -103,7 +103,7 @@
     assert cluster.deleted == [hung_worker.name]
 
 
-def test_an_outage_without_cancellations_deletes_no_hung_machine():
+def test_an_outage_without_cancellations_deletes_no_hung_machine() -> None:
     cluster = cluster_running_a_job(parts=8)
     cluster.state.down = True
     wait(cluster, 15.0)
@@ -114,7 +114,7 @@
     assert cluster.deleted == []
 
 
-def test_a_leader_that_alone_is_refused_by_the_store_deletes_nothing_unverified():
+def test_a_leader_that_alone_is_refused_by_the_store_deletes_nothing_unverified() -> None:
     """The store serves another controller, which decides instead: it is the new leader or will be soon."""
     cluster = cluster_running_a_job(parts=8)
     name, leader, other = leader_and_other(cluster)
@@ -133,7 +133,7 @@
     assert not leader.no_competing_leader(), "a higher fencing token was seen"
 
 
-def test_a_relay_stops_cancelled_tasks_on_a_stale_watch_cache():
+def test_a_relay_stops_cancelled_tasks_on_a_stale_watch_cache() -> None:
     cluster = cluster_running_a_job(machines=1)
     name, _, other = leader_and_other(cluster)
     worker = worker_with_running_tasks(cluster)
@@ -150,7 +150,7 @@
     assert not running_tasks(cluster)
 
 
-def test_an_unverified_leader_sends_direct_stops_of_cancelled_jobs():
+def test_an_unverified_leader_sends_direct_stops_of_cancelled_jobs() -> None:
     cluster = cluster_running_a_job(parts=2, machines=1)
     name, leader, other = leader_and_other(cluster)
     worker = worker_with_running_tasks(cluster)
@@ -166,7 +166,7 @@
     assert not running_tasks(cluster), "stopped by a direct command"
 
 
-def test_a_cancellation_notice_is_repeated_until_the_leader_acknowledges_it_or_it_is_too_late():
+def test_a_cancellation_notice_is_repeated_until_the_leader_acknowledges_it_or_it_is_too_late() -> None:
     cluster = cluster_running_a_job()
     name, leader, other = leader_and_other(cluster)
     cluster.mesh_cut.add(name)
@@ -183,7 +183,7 @@
     assert cluster.nodes[other].notices.send(), "it is too late for the notice to be of use"
 
 
-def test_cancellation_notices_over_the_mesh_are_validated():
+def test_cancellation_notices_over_the_mesh_are_validated() -> None:
     cluster = idle_cluster(nodes=2)
     name, leader, other = leader_and_other(cluster)
     cluster.submit(name, cluster.job(1))
@@ -198,7 +198,7 @@
     assert leader.scheduler.state.jobs["req-000001"].cancelled
 
 
-def test_a_job_cancelled_before_the_leader_has_read_it_never_starts():
+def test_a_job_cancelled_before_the_leader_has_read_it_never_starts() -> None:
     cluster = idle_cluster(nodes=3)
     name, leader, other = leader_and_other(cluster)
     cluster.state.blind.add(name)
@@ -210,7 +210,7 @@
     assert not running_tasks(cluster) and "req-000001" not in leader.scheduler.state.jobs
 
 
-def test_a_start_command_follows_a_read_that_shows_the_cancellations_of_other_controllers():
+def test_a_start_command_follows_a_read_that_shows_the_cancellations_of_other_controllers() -> None:
     """The check before a start was a comparison of the leadership record alone, which a cancellation
     confirmed by another controller in between does not change: the task was started all the same."""
     cluster = idle_cluster(machines=1, nodes=3)
@@ -223,7 +223,7 @@
     assert not running_tasks(cluster)
 
 
-def test_cancellations_with_more_work_than_capacity_over_slow_links():
+def test_cancellations_with_more_work_than_capacity_over_slow_links() -> None:
     cluster = idle_cluster(machines=3, nodes=3)
     cluster.slow_s = 1.5
     cluster.capacity = 0
@@ -250,7 +250,7 @@
     recover_and_check(cluster)
 
 
-def test_workers_that_send_no_heartbeats_get_direct_stops_of_cancelled_tasks_and_are_replaced():
+def test_workers_that_send_no_heartbeats_get_direct_stops_of_cancelled_tasks_and_are_replaced() -> None:
     cluster = cluster_running_a_job(parts=8)
     mute_worker = worker_with_running_tasks(cluster)
     mute_worker.mute = True
@@ -264,7 +264,7 @@
     recover_and_check(cluster)
 
 
-def test_queries_and_cancellations_while_the_store_refuses_the_leader_and_then_everyone():
+def test_queries_and_cancellations_while_the_store_refuses_the_leader_and_then_everyone() -> None:
     cluster = cluster_running_a_job(parts=4, machines=3)
     name, leader, other = leader_and_other(cluster)
     cluster.submit(other, cluster.job(2, parts=4, crew="blue"))
@@ -286,7 +286,7 @@
     recover_and_check(cluster)
 
 
-def test_four_one_task_jobs_a_second_for_minutes_with_a_quarter_cancelled():
+def test_four_one_task_jobs_a_second_for_minutes_with_a_quarter_cancelled() -> None:
     cluster = idle_cluster(machines=4, nodes=3, writes=20.0)
     submitted, cancelled = 0, 0
     for _ in range(240):
@@ -313,7 +313,9 @@
 
 @pytest.mark.parametrize("request_kind", ["cancel", "question", "repeat"])
 @pytest.mark.parametrize("moment", ["ended", "reported", "writing", "written"])
-def test_a_cancellation_query_or_idempotent_request_races_with_the_end_of_the_last_task(request_kind, moment):
+def test_a_cancellation_query_or_idempotent_request_races_with_the_end_of_the_last_task(
+    request_kind: str, moment: str
+) -> None:
     cluster = cluster_running_a_job(parts=1, machines=1)
     name, leader, other = leader_and_other(cluster)
     cluster.finish("req-000001/0")
@@ -342,7 +344,7 @@
     return next(worker for worker in cluster.workers.values() if worker.tasks)
 
 
-def test_jobs_are_cancelled_through_the_new_leader_while_the_old_one_still_serves():
+def test_jobs_are_cancelled_through_the_new_leader_while_the_old_one_still_serves() -> None:
     cluster = cluster_running_a_job(parts=8, machines=2)
     old, old_leader, _ = leader_and_other(cluster)
     cluster.state.lost.add(old)
@@ -362,7 +364,9 @@
     recover_and_check(cluster)
 
 
-def test_jobs_are_cancelled_before_during_and_after_the_recovery_of_a_new_leader(monkeypatch):
+def test_jobs_are_cancelled_before_during_and_after_the_recovery_of_a_new_leader(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Before the new leader's last read, between that read and its recovery, and right after."""
     cluster = cluster_running_a_job(parts=3)
     old, _, other = leader_and_other(cluster)
@@ -395,8 +399,8 @@
 
 @pytest.mark.parametrize("fault", ["cut", "hung"])
 def test_cancellations_on_unreachable_machines_with_every_team_at_its_quota_and_a_failover(
-    fault,
-):
+    fault: str,
+) -> None:
     cluster = idle_cluster(machines=6, nodes=3)
     cluster.submit("n0", cluster.job(1, parts=8, guess_s=500.0))
     cluster.submit("n0", cluster.job(2, parts=16, crew="blue", guess_s=500.0))
@@ -422,7 +426,7 @@
     recover_and_check(cluster)
 
 
-def test_a_read_does_not_count_before_the_scheduler_has_reconciled_what_it_found():
+def test_a_read_does_not_count_before_the_scheduler_has_reconciled_what_it_found() -> None:
     """One thread has read a cancellation and is about to reconcile it with the scheduler; the read of a
     second thread finds it in the cache already, and must not count before the first thread has finished."""
     cluster = idle_cluster(machines=1, nodes=2)
--- a/tests/test_capacity_index.py
+++ b/tests/test_capacity_index.py
@@ -99,7 +99,9 @@
 
 
 @given(st.lists(machines, max_size=40), jobs, st.integers(1, 12), st.booleans())
-def test_the_index_finds_the_same_machines_as_a_search_of_the_whole_fleet(fleet, job, count, with_image_only):
+def test_the_index_finds_the_same_machines_as_a_search_of_the_whole_fleet(
+    fleet: list[Machine], job: Job, count: int, with_image_only: bool
+) -> None:
     assert_same(indexed(fleet), fleet, job, count, with_image_only)
 
 
@@ -116,7 +118,9 @@
     jobs,
     st.integers(1, 8),
 )
-def test_the_index_follows_reservations_images_and_lost_machines(fleet, events, job, count):
+def test_the_index_follows_reservations_images_and_lost_machines(
+    fleet: list[Machine], events: list[tuple[int, str, int]], job: Job, count: int
+) -> None:
     capacity_index = indexed(fleet)
     present = {machine.index: machine for machine in fleet}
     reserving_job = make_job(0, 1.0, 1.0, None, True)
@@ -146,7 +150,7 @@
     assert_same(capacity_index, list(present.values()), job, count, False)
 
 
-def test_a_search_does_not_check_the_whole_fleet():
+def test_a_search_does_not_check_the_whole_fleet() -> None:
     fleet = [
         Machine(
             0,
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("ends", [False, True])
-def test_transactions_are_applied_and_their_responses_lost_while_others_read_them(ends):
+def test_transactions_are_applied_and_their_responses_lost_while_others_read_them(ends: bool) -> None:
     cluster = cluster_running_a_job()
     name, leader, other = leader_and_other(cluster)
     cluster.state.unanswered.add(name)
@@ -59,7 +59,7 @@
     recover_and_check(cluster)
 
 
-def test_a_heartbeat_delayed_until_a_new_leader_has_acted_changes_nothing():
+def test_a_heartbeat_delayed_until_a_new_leader_has_acted_changes_nothing() -> None:
     cluster = cluster_running_a_job(machines=2)
     old, _, _ = leader_and_other(cluster)
     delayed_heartbeats = [worker.heartbeat() for worker in cluster.workers.values()]  # all four tasks run
@@ -80,7 +80,7 @@
     recover_and_check(cluster)
 
 
-def test_an_old_heartbeat_reaches_every_controller_just_as_a_new_leader_recovers():
+def test_an_old_heartbeat_reaches_every_controller_just_as_a_new_leader_recovers() -> None:
     """The first heartbeat that it gets of a machine is minutes old: it starts and closes nothing there."""
     cluster = cluster_running_a_job(machines=2)
     old, _, _ = leader_and_other(cluster)
@@ -108,7 +108,7 @@
     recover_and_check(cluster)
 
 
-def test_jobs_whose_tasks_end_before_and_after_a_failover():
+def test_jobs_whose_tasks_end_before_and_after_a_failover() -> None:
     cluster = idle_cluster(machines=3, nodes=3)
     for number in (1, 2, 3):
         cluster.submit("n0", cluster.job(number, parts=number, crew="blue"))
@@ -132,7 +132,7 @@
     recover_and_check(cluster)
 
 
-def test_jobs_bound_to_one_zone_lose_their_machines_and_resume_there():
+def test_jobs_bound_to_one_zone_lose_their_machines_and_resume_there() -> None:
     cluster = two_zone_cluster()
     cluster.submit("n0", cluster.job(1, parts=4, yard="south", guess_s=500.0))
     cluster.submit("n0", cluster.job(2, parts=6, crew="blue", together=True, guess_s=500.0))
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("gap_s", [0.0, 0.5, 4.0])
-def test_leaders_fail_over_repeatedly_then_all_controllers_end_and_one_restarts(gap_s):
+def test_leaders_fail_over_repeatedly_then_all_controllers_end_and_one_restarts(gap_s: float) -> None:
     cluster = cluster_running_a_job(parts=8)
     leaders = [fail_over_and_restart(cluster) for _ in range(4)]
     assert len(set(leaders)) > 1
@@ -163,7 +163,7 @@
     recover_and_check(cluster)
 
 
-def test_ten_failovers_in_two_minutes_one_of_them_during_an_outage():
+def test_ten_failovers_in_two_minutes_one_of_them_during_an_outage() -> None:
     cluster = cluster_running_a_job(parts=8)
     cluster.submit("n1", cluster.job(2, parts=8, crew="blue"))
     tokens = set()
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize("late_s", [2.0, 12.0])
-def test_unanswered_transactions_are_applied_after_newer_ones_of_the_same_controller(late_s):
+def test_unanswered_transactions_are_applied_after_newer_ones_of_the_same_controller(late_s: float) -> None:
     cluster = cluster_running_a_job(parts=4, machines=3)
     name, leader, other = leader_and_other(cluster)
     cluster.submit(other, cluster.job(2, parts=4, crew="blue"))
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "deaf", "hung"])
-def test_a_leader_ends_while_machines_with_long_tasks_are_unreachable_or_unresponsive(fault):
+def test_a_leader_ends_while_machines_with_long_tasks_are_unreachable_or_unresponsive(fault: str) -> None:
     cluster = cluster_running_a_job(parts=8)
     stranded = worker_with_running_tasks(cluster)
     parts = stranded.running()
@@ -222,7 +222,7 @@
     recover_and_check(cluster)
 
 
-def test_no_start_on_new_machines_before_lagging_writes_are_durable_and_the_leader_ends():
+def test_no_start_on_new_machines_before_lagging_writes_are_durable_and_the_leader_ends() -> None:
     cluster = cluster_running_a_job(parts=2, machines=1)
     name, leader, other = leader_and_other(cluster)
     cluster.submit(other, cluster.job(2, parts=12, crew="blue", guess_s=500.0))
@@ -242,7 +242,7 @@
     recover_and_check(cluster)
 
 
-def test_all_controllers_agree_immediately_after_each_answer():
+def test_all_controllers_agree_immediately_after_each_answer() -> None:
     cluster = idle_cluster(machines=2, nodes=3)
     for number in range(1, 7):
         node = f"n{number % 3}"
@@ -261,7 +261,7 @@
     recover_and_check(cluster)
 
 
-def test_heartbeats_of_earlier_epochs_and_attempts_arrive_after_newer_ones():
+def test_heartbeats_of_earlier_epochs_and_attempts_arrive_after_newer_ones() -> None:
     cluster = cluster_running_a_job(parts=4, machines=2)
     name, leader, _ = leader_and_other(cluster)
     early_heartbeats = list(cluster.sent)
@@ -280,7 +280,7 @@
     recover_and_check(cluster)
 
 
-def test_a_delayed_stop_command_of_an_ended_attempt_stops_nothing_else():
+def test_a_delayed_stop_command_of_an_ended_attempt_stops_nothing_else() -> None:
     cluster = cluster_running_a_job(parts=2, machines=1)
     name, leader, _ = leader_and_other(cluster)
     worker = worker_with_running_tasks(cluster)
@@ -302,7 +302,7 @@
     recover_and_check(cluster)
 
 
-def test_a_zone_with_workers_and_a_controller_is_partitioned_for_longer_than_a_lease():
+def test_a_zone_with_workers_and_a_controller_is_partitioned_for_longer_than_a_lease() -> None:
     cluster = two_zone_cluster()
     cluster.submit("n0", cluster.job(1, parts=8, crew="blue", guess_s=500.0))
     cluster.submit("n0", cluster.job(2, parts=4, guess_s=500.0))
@@ -324,7 +324,7 @@
     recover_and_check(cluster)
 
 
-def test_all_controllers_are_down_for_longer_than_a_lease():
+def test_all_controllers_are_down_for_longer_than_a_lease() -> None:
     cluster = cluster_running_a_job(parts=8)
     cluster.submit("n0", cluster.job(2, parts=2, crew="blue", guess_s=500.0))
     wait(cluster, 3.0)
@@ -351,7 +351,7 @@
 )
 
 
-def test_invalid_submissions_are_refused_and_not_accepted():
+def test_invalid_submissions_are_refused_and_not_accepted() -> None:
     cluster = cluster_running_a_job(parts=1, machines=1)
     cluster.finish("req-000001/0")
     wait(cluster, 3.0, fleet=False)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,6 +1,7 @@
 """A settings file with an invalid value stops `check-config` and the start, naming the setting."""
 
 import re
+from pathlib import Path
 
 import pytest
 from cluster_helpers import VALID_SETTINGS, settings_text
@@ -34,7 +35,9 @@
     ],
 )
 @pytest.mark.parametrize("verb", ["check-config", "serve"])
-def test_an_invalid_value_stops_the_program_and_is_named(verb, old, new, field, tmp_path, capsys):
+def test_an_invalid_value_stops_the_program_and_is_named(
+    verb: str, old: str, new: str, field: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     text = VALID_SETTINGS + MACHINE_LIMITS + OBJECTIVE
     config.parse(text)
     assert old in text
@@ -54,18 +57,20 @@
         ("rps = 3.0", "rps = 0.0", "cloud.rps"),
     ],
 )
-def test_check_config_names_the_setting_at_fault(old, new, field, tmp_path, capsys):
+def test_check_config_names_the_setting_at_fault(
+    old: str, new: str, field: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "s.toml"
     path.write_text(VALID_SETTINGS.replace(old, new))
     assert cli.main(["check-config", "--config", str(path)]) == 2
     assert field in capsys.readouterr().err
 
 
-def test_unknown_settings_are_ignored():
+def test_unknown_settings_are_ignored() -> None:
     assert config.parse(VALID_SETTINGS + "\n[extra]\nx = 1\n").member == "n9"
 
 
-def test_check_config_refuses_a_missing_file(tmp_path):
+def test_check_config_refuses_a_missing_file(tmp_path: Path) -> None:
     assert cli.main(["check-config", "--config", str(tmp_path / "none.toml")]) == 2
 
 
@@ -78,7 +83,7 @@
         ('write_rps = "x"', "write_rps"),
     ],
 )
-def test_upcoming_limits_are_checked_like_every_setting(line, field):
+def test_upcoming_limits_are_checked_like_every_setting(line: str, field: str) -> None:
     text = settings_text(next_limits=line)
     with pytest.raises(config.SettingsError, match=f"state.next.{field}"):
         config.parse(text)
--- a/tests/test_deadline_bound.py
+++ b/tests/test_deadline_bound.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(("at_s", "expected"), [(0.0, 0.0), (5.0, 5.0), (10.0, 10.0), (12.0, 14.0)])
-def test_work_is_done_by_the_machines_that_are_up(at_s, expected):
+def test_work_is_done_by_the_machines_that_are_up(at_s: float, expected: float) -> None:
     assert TWO_CPUS.work_until(at_s) == expected
 
 
@@ -56,26 +56,26 @@
         ([job(100.0, math.inf)], 1),
     ],
 )
-def test_as_many_jobs_as_fit_by_their_deadlines(jobs, expected):
+def test_as_many_jobs_as_fit_by_their_deadlines(jobs: list[DrawnJob], expected: int) -> None:
     assert max_in_time(jobs, TWO_CPUS) == expected
 
 
-def test_work_of_higher_priorities_reduces_the_capacity():
+def test_work_of_higher_priorities_reduces_the_capacity() -> None:
     urgent = [job(8.0, 10.0, priority=1), job(50.0, 100.0, arrives_s=30.0, priority=1)]
     assert max_in_time([job(5.0, 10.0)], TWO_CPUS, urgent) == 0
     assert max_in_time([job(2.0, 10.0)], TWO_CPUS, urgent) == 1, "jobs that arrive later take nothing yet"
 
 
-def test_initial_machines_are_up_and_the_others_boot():
+def test_initial_machines_are_up_and_the_others_boot() -> None:
     capacity = draw_capacity(random.Random(1), SITE)
     assert len(capacity.from_s) == 3 and capacity.from_s[0] == 0.0
     assert all(6.0 <= at_s <= 15.0 for at_s in capacity.from_s[1:])
 
 
-def test_a_site_with_capacity_for_all_has_a_bound_of_one():
+def test_a_site_with_capacity_for_all_has_a_bound_of_one() -> None:
     assert bounds(SITE, days=3, seed=1) == {"sweep": (1.0, 1.0)}
 
 
-def test_a_site_with_impossible_deadlines_has_a_bound_of_zero():
+def test_a_site_with_impossible_deadlines_has_a_bound_of_zero() -> None:
     without_time = SITE | {"jobs": [SITE["jobs"][0] | {"deadline": {"factor": 0.5, "plus_s": 0.0}}]}
     assert bounds(without_time, days=3, seed=1) == {"sweep": (0.0, 0.0)}
--- a/tests/test_heartbeat_packing.py
+++ b/tests/test_heartbeat_packing.py
@@ -12,17 +12,17 @@
 )
 
 
-def test_a_heartbeat_is_the_same_after_packing_for_the_relay():
+def test_a_heartbeat_is_the_same_after_packing_for_the_relay() -> None:
     heartbeat = workers.parse_heartbeat(BODY)
     assert mesh.unpack_heartbeat(orjson.loads(orjson.dumps(mesh.pack_heartbeat(heartbeat)))) == heartbeat
 
 
-def test_a_heartbeat_with_a_field_of_the_wrong_type_is_refused():
+def test_a_heartbeat_with_a_field_of_the_wrong_type_is_refused() -> None:
     with pytest.raises(jobs.InvalidError):
         workers.parse_heartbeat(BODY.replace(b'"shift":2', b'"shift":"2"'))
 
 
-def test_the_heartbeats_of_a_whole_zone_fit_into_few_values():
+def test_the_heartbeats_of_a_whole_zone_fit_into_few_values() -> None:
     heartbeats = [
         workers.Heartbeat(
             machine=f"vm-{n:06d}",
--- a/tests/test_launch_planning.py
+++ b/tests/test_launch_planning.py
@@ -7,7 +7,7 @@
 from bayford.scheduling import scaling
 
 
-def test_launch_plans_prefer_spot_and_take_on_demand_machines_only_where_needed():
+def test_launch_plans_prefer_spot_and_take_on_demand_machines_only_where_needed() -> None:
     types = World(1).catalog()
     spot, on_demand = scaling.MachinePool(0, 0, True), scaling.MachinePool(0, 0, False)
     demand = scaling.Demand(frozenset({spot, on_demand}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
--- a/tests/test_leadership_transfer.py
+++ b/tests/test_leadership_transfer.py
@@ -35,7 +35,7 @@
     return cluster.state.rows[records.LEADERSHIP][0]["token"]
 
 
-def test_a_leader_without_workers_transfers_leadership_and_no_task_stops():
+def test_a_leader_without_workers_transfers_leadership_and_no_task_stops() -> None:
     cluster, leader = busy_cluster()
     before = running_tasks(cluster)
     first = fencing_token(cluster)
@@ -52,7 +52,7 @@
     assert running_tasks(cluster) == []
 
 
-def test_cancelled_starts_on_relayed_machines_delete_no_machine():
+def test_cancelled_starts_on_relayed_machines_delete_no_machine() -> None:
     """A relay passes on no evidence that closes a cancelled start. While the leader used relays, each
     machine with such a start was deleted at half of `cancel_s`, with all other work on it."""
     cluster, leader = busy_cluster(parts=2, machines=2)
@@ -66,7 +66,7 @@
     assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
 
 
-def test_leadership_moves_at_most_once_a_lease_where_leaders_lose_their_workers_in_turn():
+def test_leadership_moves_at_most_once_a_lease_where_leaders_lose_their_workers_in_turn() -> None:
     cluster, leader = busy_cluster()
     before = running_tasks(cluster)
     first = fencing_token(cluster)
@@ -83,7 +83,7 @@
     assert set(running_tasks(cluster)) >= set(before)
 
 
-def test_no_transfer_between_two_controllers_without_workers():
+def test_no_transfer_between_two_controllers_without_workers() -> None:
     cluster, leader = busy_cluster()
     also_cut = next(name for name in cluster.nodes if name != leader)
     cut_off(cluster, leader)
@@ -95,7 +95,7 @@
     assert len(running_tasks(cluster)) == 12
 
 
-def test_late_answers_and_writes_of_the_previous_leader_have_no_effect():
+def test_late_answers_and_writes_of_the_previous_leader_have_no_effect() -> None:
     cluster, leader = busy_cluster(parts=4)
     worker = next(iter(cluster.workers.values()))
     late_heartbeat = worker.heartbeat()
@@ -121,7 +121,9 @@
 @pytest.mark.parametrize(
     ("healed_after_s", "changes"), [(1.0, {0, 1}), (3.0, {0, 1}), (6.0, {0, 1}), (12.0, {1})]
 )
-def test_a_partition_that_heals_before_during_or_after_the_transfer(healed_after_s, changes):
+def test_a_partition_that_heals_before_during_or_after_the_transfer(
+    healed_after_s: float, changes: set[int]
+) -> None:
     cluster, leader = busy_cluster()
     before = running_tasks(cluster)
     first = fencing_token(cluster)
@@ -133,7 +135,7 @@
     assert running_tasks(cluster) == before and cluster.deleted == []
 
 
-def test_a_leadership_transfer_whose_answer_is_lost_happens_once():
+def test_a_leadership_transfer_whose_answer_is_lost_happens_once() -> None:
     cluster, leader = busy_cluster()
     first = fencing_token(cluster)
     cut_off(cluster, leader)
@@ -147,7 +149,7 @@
     assert not cluster.nodes[leader].scheduler.leader and len(running_tasks(cluster)) == 12
 
 
-def test_no_transfer_where_each_controller_is_cut_off_from_some_workers():
+def test_no_transfer_where_each_controller_is_cut_off_from_some_workers() -> None:
     cluster, leader = busy_cluster(parts=24, machines=6)
     first = fencing_token(cluster)
     names = list(cluster.workers)
@@ -158,7 +160,7 @@
     assert len(running_tasks(cluster)) == 24 and cluster.deleted == []
 
 
-def test_a_leader_with_one_worker_cut_off_stays_leader():
+def test_a_leader_with_one_worker_cut_off_stays_leader() -> None:
     cluster, leader = busy_cluster()
     unreachable: Worker = next(iter(cluster.workers.values()))
     cluster.cut.add((unreachable.name, leader))
@@ -180,11 +182,13 @@
         (0, {"gone": 9}, None),
     ],
 )
-def test_the_successor_receives_most_heartbeats_and_the_leader_almost_none(direct, relayed, expected):
+def test_the_successor_receives_most_heartbeats_and_the_leader_almost_none(
+    direct: int, relayed: dict[str, int], expected: str | None
+) -> None:
     assert successor(WorkerContact(direct, relayed), OTHERS) == expected
 
 
-def test_the_leaders_failover_neighbour_should_be_in_the_other_zone():
+def test_the_leaders_failover_neighbour_should_be_in_the_other_zone() -> None:
     zones = {f"n{n}": "east" if n % 2 else "west" for n in range(7)}
     assert [name for name in sorted(zones) if lacks_failover_neighbour(name, zones)] == ["n6"], (
         "n0 is next, and west too"
--- a/tests/test_policy_script.py
+++ b/tests/test_policy_script.py
@@ -42,7 +42,9 @@
     ],
 )
 @pytest.mark.parametrize("verb", ["check-config", "serve"])
-def test_an_invalid_script_setting_stops_the_program_and_is_named(verb, line, field, tmp_path, capsys):
+def test_an_invalid_script_setting_stops_the_program_and_is_named(
+    verb: str, line: str, field: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     settings, script = tmp_path / "settings.toml", tmp_path / "p.star"
     settings.write_text(VALID_SETTINGS + OBJECTIVE)
     script.write_text(line + "\n")
@@ -51,7 +53,9 @@
 
 
 @pytest.mark.parametrize("script", ["policy.star", "all-parts.star"])
-def test_the_shipped_scripts_are_valid(script, tmp_path, capsys):
+def test_the_shipped_scripts_are_valid(
+    script: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     settings = tmp_path / "settings.toml"
     settings.write_text(VALID_SETTINGS + OBJECTIVE)
     shipped = Path(__file__).parent.parent / "deploy" / script
@@ -61,12 +65,12 @@
     assert policy.spread_restarts == ({"sweep": 2} if policy.spread else {})
 
 
-def test_job_classes_without_an_objective_may_be_added():
+def test_job_classes_without_an_objective_may_be_added() -> None:
     text = 'extra_classes = ["trickle"]\nspread_restarts = {"trickle": 3}\n'
     assert evaluate(text, "p.star", config.parse(VALID_SETTINGS)).spread_restarts == {"trickle": 3}
 
 
-def test_the_script_sets_the_policy():
+def test_the_script_sets_the_policy() -> None:
     text = "_n = len(site['zones'])\nif _n == 2:\n    aging_s = 7\npreempt_per_round = 2 * _n\n"
     policy = evaluate(text, "p.star", config.parse(VALID_SETTINGS))
     assert policy == Policy(aging_s=7.0, preempt_per_round=4)
@@ -85,20 +89,20 @@
         ("guarantee_first = 3\n", "guarantee_first"),
     ],
 )
-def test_an_error_of_the_script_names_the_line_or_the_setting(text, named):
+def test_an_error_of_the_script_names_the_line_or_the_setting(text: str, named: str) -> None:
     with pytest.raises(config.SettingsError) as caught:
         evaluate(text, "p.star", config.parse(VALID_SETTINGS))
     assert named in str(caught.value)
 
 
-def test_check_config_refuses_an_invalid_script(tmp_path):
+def test_check_config_refuses_an_invalid_script(tmp_path: Path) -> None:
     settings, script = tmp_path / "s.toml", tmp_path / "p.star"
     settings.write_text(VALID_SETTINGS)
     script.write_text("aging_s = nothing\n")
     assert cli.main(["check-config", "--config", str(settings), "--script", str(script)]) == 2
 
 
-def test_the_shipped_script_documents_every_default():
+def test_the_shipped_script_documents_every_default() -> None:
     shipped = (Path(__file__).parent.parent / "deploy" / "policy.star").read_text()
     lines = [ln[2:] for ln in shipped.splitlines() if ln.startswith("# ") and " = " in ln]
     text = "\n".join(ln.split("#")[0] for ln in lines)
--- a/tests/test_random_concurrent_faults.py
+++ b/tests/test_random_concurrent_faults.py
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize(
     ("seed", "policy"), [(s, None) for s in range(24)] + [(s, EAGER_MIGRATION) for s in range(24, 24 + 12)]
 )
-def test_random_concurrent_faults(seed, policy):
+def test_random_concurrent_faults(seed: int, policy: Policy | None) -> None:
     cluster = World(3, seed=seed, policy=policy)
     for n in range(5):
         cluster.machine(zone="north" if n % 2 else "south", spot=n % 3 > 0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -57,7 +57,7 @@
     return sum(len(worker.running()) for worker in cluster.workers.values())
 
 
-def test_4000_machines_start_get_a_new_leader_and_lose_500():
+def test_4000_machines_start_get_a_new_leader_and_lose_500() -> None:
     cluster = World(nodes=3, value_kb=8.0)
     cluster.pause_s = 0.0005  # 4,000 heartbeats wait for a read each, and their times add up here
     cluster.capacity = 0  # no more machines than these, but replacements of deleted ones
@@ -158,7 +158,7 @@
     return scheduler, operations
 
 
-def test_listing_4000_machines_keeps_to_the_rate_and_leaves_some_for_launches():
+def test_listing_4000_machines_keeps_to_the_rate_and_leaves_some_for_launches() -> None:
     """All pages at once exceeded the cloud's burst, so that the list was never complete."""
     cloud = PacedCloud(rps=3.0, count=MACHINES)
     scheduler, operations = leader_with_cloud(cloud, World().settings("n0"))
@@ -182,7 +182,7 @@
     assert kinds["launch"] >= 60, "the rest of the rate is for launches"
 
 
-def test_more_launches_than_the_queue_holds_do_not_delay_deletions():
+def test_more_launches_than_the_queue_holds_do_not_delay_deletions() -> None:
     cloud = PacedCloud(rps=3.0, count=0)
     scheduler, operations = leader_with_cloud(cloud, World().settings("n0"))
     requests = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
@@ -194,7 +194,7 @@
     assert MACHINES <= waiting < 400 * 50, "launches that the queue did not take are decided again"
 
 
-def test_a_relay_recognizes_repeated_heartbeats_of_4000_machines():
+def test_a_relay_recognizes_repeated_heartbeats_of_4000_machines() -> None:
     cluster = World(nodes=2)
     relay = cluster.nodes["n1"].relay
     heartbeats = [cluster.machine().heartbeat() for _ in range(MACHINES + 500)]
@@ -202,7 +202,7 @@
     assert all(relay.stale(heartbeat) for heartbeat in heartbeats), "each of them was seen before"
 
 
-def test_a_relay_of_4000_machines_keeps_to_the_rate_and_passes_each_machine_on():
+def test_a_relay_of_4000_machines_keeps_to_the_rate_and_passes_each_machine_on() -> None:
     """All values at once were refused repeatedly, and the pause for so many exceeded a lease."""
     cluster = World(nodes=2, value_kb=4.0, writes=15.0)
     relaying = cluster.nodes["n1"]
@@ -239,7 +239,7 @@
     assert max(gaps) <= LEASE_S
 
 
-def test_preemption_in_a_large_fleet_covers_it_and_stops_tasks_in_proportion():
+def test_preemption_in_a_large_fleet_covers_it_and_stops_tasks_in_proportion() -> None:
     cluster = World(value_kb=8.0)
     cluster.pause_s = 0.0005
     node = cluster.nodes["n0"]
@@ -270,7 +270,7 @@
     assert thirds == {0, 1, 2}, "tasks of every third of the fleet are preempted"
 
 
-def test_more_workers_than_connections_are_all_answered_in_turn():
+def test_more_workers_than_connections_are_all_answered_in_turn() -> None:
     """Workers kept their connections: the last ones were refused until a lease expired."""
     max_connections, clients = 8, 40
     cluster = World()
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -61,7 +61,7 @@
 
 
 @given(st.lists(machines, min_size=1, max_size=30), jobs, st.integers(1, 20))
-def test_chosen_machines_are_eligible_and_have_capacity(fleet, job, count):
+def test_chosen_machines_are_eligible_and_have_capacity(fleet: list[Machine], job: Job, count: int) -> None:
     capacity_index = indexed(fleet)
 
     def may_take(machine: Machine) -> bool:
@@ -87,7 +87,9 @@
         (Weights(fetch=10.0, load_s=10.0), True),
     ],
 )
-def test_the_weights_decide_between_a_busy_machine_with_the_image_and_an_idle_one(weights, holder_wins):
+def test_the_weights_decide_between_a_busy_machine_with_the_image_and_an_idle_one(
+    weights: Weights, holder_wins: bool
+) -> None:
     busy, idle = idle_machines(2)
     busy.images[1] = True
     busy.free_cpus = 0.25 * CPUS
@@ -95,7 +97,7 @@
     assert chosen == [busy if holder_wins else idle]
 
 
-def test_machines_with_a_popular_image_get_more_load_but_are_not_filled():
+def test_machines_with_a_popular_image_get_more_load_but_are_not_filled() -> None:
     """They are filled up to where a fetch costs less than their load."""
     fleet = idle_machines(20)
     for machine in fleet[:3]:
@@ -107,7 +109,7 @@
     assert min(loads[:3]) > sum(loads[3:]) / len(loads[3:]), "they get more than the others"
 
 
-def test_without_cached_images_the_choice_is_repeatable_and_spread():
+def test_without_cached_images_the_choice_is_repeatable_and_spread() -> None:
     """As after the return of a zone: no machine fetches for all, and the same ones are chosen each time."""
     first = choose(make_job(1, 1.0, 1.0, None, True), idle_machines(12), 6, Weights())
     again = choose(make_job(1, 1.0, 1.0, None, True), idle_machines(12), 6, Weights())
@@ -116,7 +118,9 @@
 
 
 @given(st.sets(st.integers(0, 500), min_size=2, max_size=30), st.text(max_size=8))
-def test_the_preferred_machine_of_an_image_changes_only_if_it_is_removed(numbers, image):
+def test_the_preferred_machine_of_an_image_changes_only_if_it_is_removed(
+    numbers: set[int], image: str
+) -> None:
     names = [f"vm-{n}" for n in sorted(numbers)]
     best = max(names, key=lambda name: rendezvous(image, name))
     for deleted_machines in names:
@@ -143,8 +147,8 @@
 
 @given(hosts(), st.integers(0, 6), st.sampled_from([1.0, 1.5, 2.0]), st.integers(0, 1000))
 def test_a_plan_migrates_each_task_once_within_the_budget_and_lowers_the_highest_load(
-    fleet, max_moves, threshold, seed
-):
+    fleet: list[Host], max_moves: int, threshold: float, seed: int
+) -> None:
     before = {host.index: (host.free, list(host.items)) for host in fleet}
     plan = rebalance(fleet, threshold, Counts(4, 3, max_moves), lambda key, target: True, random.Random(seed))
     assert {host.index: (host.free, host.items) for host in fleet} == before, "trials change nothing"
@@ -175,7 +179,7 @@
 
 
 @given(hosts(), st.integers(0, 50))
-def test_successive_plans_come_to_an_end(fleet, seed):
+def test_successive_plans_come_to_an_end(fleet: list[Host], seed: int) -> None:
     """No migration undoes another: with plan after plan applied, the fleet settles."""
     rng = random.Random(seed)
     by_index = {host.index: host for host in fleet}
@@ -196,7 +200,7 @@
         pytest.fail("no end of migrations")
 
 
-def test_a_small_budget_relieves_equally_loaded_machines_one_after_the_other():
+def test_a_small_budget_relieves_equally_loaded_machines_one_after_the_other() -> None:
     """The highest load falls only with the last of them: judged by that alone, no plan was made."""
     fleet = [
         Host(n, 4.0, (0.0, 0.0, 0.0), [Item((f"req-{n}/{t}", 1), (1.0, 0.0, 1.0)) for t in range(4)])
@@ -207,7 +211,7 @@
     assert plan is not None and len(plan.relocations) == 1
 
 
-def test_no_plan_where_no_migration_helps():
+def test_no_plan_where_no_migration_helps() -> None:
     balanced = [Host(n, 4.0, (3.0, 0.0, 3.0), [Item((f"req-{n}/0", 1), (1.0, 0.0, 1.0))]) for n in range(4)]
     one_large = [Host(n, 4.0, (4.0, 0.0, 4.0), []) for n in range(3)]
     one_large.append(Host(3, 4.0, (0.0, 0.0, 0.0), [Item(("req-9/0", 1), (4.0, 0.0, 4.0))]))
@@ -220,7 +224,9 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.booleans()), max_size=40), st.integers(0, 3))
-def test_no_task_is_restarted_more_often_than_allowed_across_failovers(events, limit):
+def test_no_task_is_restarted_more_often_than_allowed_across_failovers(
+    events: list[tuple[int, bool]], limit: int
+) -> None:
     budget = RestartBudget({"sweep": limit}, 9)
     restarts_of = dict.fromkeys(range(4), 0)
     for task, takeover in events:
@@ -237,14 +243,14 @@
 @pytest.mark.parametrize(
     "stored", [None, 3, {"v": 2, "t": []}, {"v": 1, "t": [[0, "x"]]}, {"v": 1, "t": [[0, -1]]}]
 )
-def test_unreadable_restart_counts_allow_no_migration(stored):
+def test_unreadable_restart_counts_allow_no_migration(stored: object) -> None:
     budget = RestartBudget({}, 5)
     with pytest.raises(UnreadableCountsError):
         budget.load("req-1", stored)
     assert not budget.allows("req-1", "sweep", 0) and budget.allows("req-2", "sweep", 0)
 
 
-def test_restart_counts_that_fill_a_value_allow_no_more_tasks():
+def test_restart_counts_that_fill_a_value_allow_no_more_tasks() -> None:
     budget = RestartBudget({}, 1, value_bytes=384)
     task = 0
     while budget.allows("req-1", "sweep", 10**5 - task):
@@ -279,7 +285,7 @@
     return {task_id: len(workers) - 1 for task_id, workers in cluster.starters.items()}
 
 
-def test_running_tasks_leave_an_overloaded_machine_and_migrate_at_most_once():
+def test_running_tasks_leave_an_overloaded_machine_and_migrate_at_most_once() -> None:
     cluster = unbalanced_cluster()
     wait(cluster, 120.0, fleet=False)
     assert task_counts(cluster)[-1] <= 2, "at most twice the average"
@@ -296,21 +302,21 @@
         {"guess_s": 12.0},  # it ends soon
     ],
 )
-def test_tasks_without_checkpoints_or_near_their_end_are_not_migrated(job):
+def test_tasks_without_checkpoints_or_near_their_end_are_not_migrated(job: dict[str, float]) -> None:
     cluster = unbalanced_cluster(**job)
     before = {worker.name: worker.running() for worker in cluster.workers.values()}
     wait(cluster, 60.0, fleet=False)
     assert {worker.name: worker.running() for worker in cluster.workers.values()} == before
 
 
-def test_tasks_of_a_lossy_class_are_migrated_without_checkpoints():
+def test_tasks_of_a_lossy_class_are_migrated_without_checkpoints() -> None:
     cluster = unbalanced_cluster(bookmark_s=0.0, guess_s=9000.0)
     cluster.nodes["n0"].scheduler.state.policy = dataclasses.replace(SPREAD, spread_lossy=("sweep",))
     wait(cluster, 60.0, fleet=False)
     assert task_counts(cluster)[-1] <= 2
 
 
-def test_tasks_of_a_class_without_restarts_are_not_migrated():
+def test_tasks_of_a_class_without_restarts_are_not_migrated() -> None:
     cluster = unbalanced_cluster()
     cluster.policy = dataclasses.replace(SPREAD, spread_restarts={"sweep": 0})
     cluster.boot("n0")
@@ -318,7 +324,7 @@
     assert task_counts(cluster) == [0, 0, 0, 4]
 
 
-def test_successive_leaders_restart_no_task_more_often_than_allowed(caplog):
+def test_successive_leaders_restart_no_task_more_often_than_allowed(caplog: pytest.LogCaptureFixture) -> None:
     cluster = unbalanced_cluster(nodes=3)
     with caplog.at_level("INFO", logger="bayford.spread"):
         for _ in range(8):
@@ -353,7 +359,7 @@
 
 @pytest.mark.parametrize("counted", [False, True])
 @pytest.mark.parametrize("event", ["done", "cancelled", "target", "leader"])
-def test_a_migration_that_is_overtaken_by_an_event(event, counted):
+def test_a_migration_that_is_overtaken_by_an_event(event: str, counted: bool) -> None:
     """Its task completes or is cancelled, its target is deleted, or the leader ends, before or after the
     migration is durable and the stop command sent."""
     cluster = unbalanced_cluster()
@@ -398,7 +404,7 @@
         assert cluster.query("n0", "req-000001") == "done"
 
 
-def test_no_migration_while_a_task_waits_for_capacity():
+def test_no_migration_while_a_task_waits_for_capacity() -> None:
     cluster = unbalanced_cluster()
     cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
     wait(cluster, 40.0, fleet=False)
@@ -406,7 +412,7 @@
     assert cluster.nodes["n0"].scheduler.state.jobs["req-000002"].waiting == [0]
 
 
-def test_capacity_for_a_migrating_task_is_reserved_for_its_job_alone():
+def test_capacity_for_a_migrating_task_is_reserved_for_its_job_alone() -> None:
     """Where two jobs shared a reservation, the second found it used and was placed where it had been."""
     cluster = unbalanced_cluster(tasks=2)
     scheduler = cluster.nodes["n0"].scheduler
@@ -426,7 +432,7 @@
     assert not placement_rules.eligible(second, target, {}, cluster.clock.now)
 
 
-def test_no_team_limit_is_exceeded_with_load_spread():
+def test_no_team_limit_is_exceeded_with_load_spread() -> None:
     cluster = idle_cluster(machines=6, policy=SPREAD)
     for number in range(4):
         cluster.submit("n0", cluster.job(number, parts=6))
@@ -434,7 +440,7 @@
     assert len(running_tasks(cluster)) == LIMITS["red"]
 
 
-def test_restart_counts_of_ended_jobs_are_deleted():
+def test_restart_counts_of_ended_jobs_are_deleted() -> None:
     cluster = unbalanced_cluster()
     decide_migration(cluster)
     wait(cluster, 10.0, fleet=False)
@@ -449,7 +455,7 @@
 @pytest.mark.parametrize(
     "condition", ["noticed", "silent", "unresponsive", "refusing", "relayed", "deleting"]
 )
-def test_an_idle_machine_in_such_a_condition_is_no_migration_target(condition):
+def test_an_idle_machine_in_such_a_condition_is_no_migration_target(condition: str) -> None:
     machine = idle_machines(1)[0]
     machine.registered, machine.last_heartbeat_at = True, 100.0
     assert picture(machine, 101.0).accepts(5.0)
@@ -466,7 +472,7 @@
     assert not picture(machine, 101.0).accepts(5.0)
 
 
-def test_a_placement_hint_has_priority_over_machines_with_the_image():
+def test_a_placement_hint_has_priority_over_machines_with_the_image() -> None:
     """The search of machines with the image dropped the hint: the task was placed where it had been."""
     cluster = idle_cluster(machines=4, policy=PACKED)
     scheduler = cluster.nodes["n0"].scheduler
@@ -481,7 +487,7 @@
     assert job.open[0].machine == target
 
 
-def test_machines_with_late_heartbeats_are_no_migration_targets():
+def test_machines_with_late_heartbeats_are_no_migration_targets() -> None:
     cluster = unbalanced_cluster()
     for worker in list(cluster.workers.values()):
         worker.mute = not worker.running()  # the idle machines send no heartbeats
@@ -493,7 +499,9 @@
     assert cluster.nodes["n0"].scheduler.state.moves == 0
 
 
-def test_a_machine_of_an_unlisted_type_gets_no_work_and_is_logged_once(caplog):
+def test_a_machine_of_an_unlisted_type_gets_no_work_and_is_logged_once(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     cluster = unbalanced_cluster()
     unlisted_machine = cluster.machine()
     unlisted_machine.kind = MachineType("odd", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north",))
--- a/tests/test_submission_validation.py
+++ b/tests/test_submission_validation.py
@@ -13,14 +13,14 @@
 NULLABLE = ("builds", "yard", "due_s")
 
 
-def test_a_valid_submission_is_the_same_after_encoding_its_record():
+def test_a_valid_submission_is_the_same_after_encoding_its_record() -> None:
     spec = jobs.parse_submission(orjson.dumps(VALID_SUBMISSION | {"builds": ["small"], "due_s": 9.5}))
     record = records.Record(spec, 5.0, 0.0, True, 2)
     assert records.decode(orjson.loads(orjson.dumps(records.encode(record)))) == record
 
 
 @pytest.mark.parametrize("stored", [{}, [1, 2], "x", {"pieces": 2, "text": "!!"}])
-def test_a_stored_value_that_is_no_record_is_unreadable(stored):
+def test_a_stored_value_that_is_no_record_is_unreadable(stored: object) -> None:
     with pytest.raises(records.UnreadableError):
         records.decode(stored)
 
@@ -51,13 +51,13 @@
         {"mem_gb": 1e300},
     ],
 )
-def test_a_submission_with_an_invalid_field_is_refused(change):
+def test_a_submission_with_an_invalid_field_is_refused(change: dict[str, object]) -> None:
     with pytest.raises(jobs.InvalidError):
         jobs.parse_submission(orjson.dumps(VALID_SUBMISSION | change))
 
 
 @pytest.mark.parametrize("field", [k for k in VALID_SUBMISSION if k not in NULLABLE])
-def test_a_submission_without_a_required_field_is_refused(field):
+def test_a_submission_without_a_required_field_is_refused(field: str) -> None:
     with pytest.raises(jobs.InvalidError):
         jobs.parse_submission(orjson.dumps({k: v for k, v in VALID_SUBMISSION.items() if k != field}))
 
@@ -65,19 +65,19 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b"7", b"{", b'{"id":"a","id":"b"}', b"\xff", b'{"cpus":NaN}', b"[" * 100_000]
 )
-def test_a_body_that_is_no_json_object_is_refused(body):
+def test_a_body_that_is_no_json_object_is_refused(body: bytes) -> None:
     with pytest.raises(jobs.InvalidError):
         jobs.parse_submission(body)
 
 
 @pytest.mark.parametrize("fields", ['"cpus":1e999', '"cpus":Infinity', '"cpus":1.0,"cpus":1.0'])
-def test_non_finite_numbers_and_duplicate_fields_are_refused(fields):
+def test_non_finite_numbers_and_duplicate_fields_are_refused(fields: str) -> None:
     text = orjson.dumps(VALID_SUBMISSION).decode()
     with pytest.raises(jobs.InvalidError):
         jobs.parse_submission(text.replace('"cpus":1.0', fields).encode())
 
 
-def test_nullable_fields_may_be_absent_and_unknown_fields_are_ignored():
+def test_nullable_fields_may_be_absent_and_unknown_fields_are_ignored() -> None:
     body = {k: v for k, v in VALID_SUBMISSION.items() if k not in NULLABLE} | {"colour": "red"}
     spec = jobs.parse_submission(orjson.dumps(body))
     assert spec.types is None and spec.zone is None and spec.deadline_s is None
--- a/tests/test_task_log.py
+++ b/tests/test_task_log.py
@@ -90,7 +90,7 @@
         (8192, 384),
     ],
 )
-def test_rebuilding_from_all_rows_gives_the_same_as_applying_each(layout_bytes, row_bytes):
+def test_rebuilding_from_all_rows_gives_the_same_as_applying_each(layout_bytes: int, row_bytes: int) -> None:
     writer = RandomWriter(layout_bytes, row_bytes, row_bytes)
     late_reader = TaskLog(layout_bytes)
     delayed_rows: list[tuple[str, int, object]] = []
@@ -130,7 +130,7 @@
     assert longest <= 20 * kept_rows
 
 
-def test_a_missing_or_foreign_row_is_an_error():
+def test_a_missing_or_foreign_row_is_an_error() -> None:
     writer = RandomWriter(4096, 4096, 1)
     for _ in range(40):
         writer.task_log.apply_row(*writer.append(3, 30))
@@ -146,7 +146,7 @@
         TaskLog(4096).rebuild([*rows, ("b/log/99", 5, {"n": "x"})])
 
 
-def test_a_job_of_100000_tasks_fits_into_rows():
+def test_a_job_of_100000_tasks_fits_into_rows() -> None:
     task_log = TaskLog(4096)
     for version, first in enumerate(range(0, 100_000, 400)):
         builder = RowBuilder(task_log, task_log.next, task_log.reclaimable_tail(), 1, 4096)
@@ -161,7 +161,7 @@
     assert len(task_log.jobs["req-1"].done) == 50_000
 
 
-def test_a_block_that_fits_into_no_row_does_not_stop_the_tail():
+def test_a_block_that_fits_into_no_row_does_not_stop_the_tail() -> None:
     """With a layout for 8 KiB and rows of 1 KiB, a block of 66 tasks on as many machines fits into none. If
     the tail stops, the log grows without bound."""
     task_log = TaskLog(8192)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -26,7 +26,7 @@
             answer += received
 
 
-def test_the_concurrency_limit_falls_when_requests_get_slower_and_rises_again():
+def test_the_concurrency_limit_falls_when_requests_get_slower_and_rises_again() -> None:
     now = [0.0]
     limit = ConcurrencyLimit(start=32.0, window=20, clock=lambda: now[0])
 
@@ -50,7 +50,7 @@
     assert limit.limit > slow
 
 
-def test_the_server_refuses_malformed_requests_and_keeps_connections():
+def test_the_server_refuses_malformed_requests_and_keeps_connections() -> None:
     def handle(request: Request) -> Response:
         return Response(200, request.body or request.path.encode())
 
@@ -69,7 +69,7 @@
     assert threading.active_count() < 20
 
 
-def test_under_load_users_do_not_keep_connections_and_stale_ones_of_workers_close_soon():
+def test_under_load_users_do_not_keep_connections_and_stale_ones_of_workers_close_soon() -> None:
     """Kept for 40 s, the connections from before a partition hindered a fleet that came back."""
     cluster = World()
     handler = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
--- a/tests/test_zone_health.py
+++ b/tests/test_zone_health.py
@@ -33,7 +33,7 @@
     return statuses
 
 
-def test_a_zone_is_lost_after_its_leases_expire_and_up_after_it_has_settled():
+def test_a_zone_is_lost_after_its_leases_expire_and_up_after_it_has_settled() -> None:
     observations = [
         (0.0, ALL_HEARD),
         (10.0, NONE_HEARD),
@@ -67,7 +67,7 @@
         (VERIFIED_LEADER, ZoneFacts(0, 0, 0)),  # a site of one zone
     ],
 )
-def test_a_leader_that_cannot_know_declares_no_zone_lost(leader, others):
+def test_a_leader_that_cannot_know_declares_no_zone_lost(leader: LeadershipFacts, others: ZoneFacts) -> None:
     assert {
         status.state
         for status in statuses_over_time([(t, NONE_HEARD) for t in (0.0, 10.0, 30.0, 300.0)], leader, others)
@@ -75,13 +75,13 @@
 
 
 @pytest.mark.parametrize("facts", [ZoneFacts(8, 3, 3), ZoneFacts(2, 0, 0)])
-def test_single_lost_machines_are_not_a_lost_zone(facts):
+def test_single_lost_machines_are_not_a_lost_zone(facts: ZoneFacts) -> None:
     assert {status.state for status in statuses_over_time([(t, facts) for t in (0.0, 30.0, 300.0)])} == {
         ZoneState.UP
     }
 
 
-def test_a_zone_that_flaps_takes_longer_to_be_up_each_time():
+def test_a_zone_that_flaps_takes_longer_to_be_up_each_time() -> None:
     observations = [
         (0.0, ALL_HEARD),
         (5.0, NONE_HEARD),
@@ -104,7 +104,7 @@
     assert TIMES.settle_s(2) == 2 * TIMES.settle_s(1) == 4 * TIMES.lease_s
 
 
-def test_two_zones_may_be_lost_one_after_the_other_but_not_all():
+def test_two_zones_may_be_lost_one_after_the_other_but_not_all() -> None:
     zones = {NORTH: ALL_HEARD, SOUTH: NONE_HEARD, WEST: ALL_HEARD}
     assert blindness(VERIFIED_LEADER, zones, SOUTH, TIMES) == ""
     zones[WEST] = NONE_HEARD
@@ -117,7 +117,7 @@
     assert "fault may be here" in blindness(VERIFIED_LEADER, zones, WEST, TIMES)
 
 
-def test_a_zone_without_machines_is_retried_after_a_while():
+def test_a_zone_without_machines_is_retried_after_a_while() -> None:
     status = ZoneStatus(ZoneState.LOST, since=0.0, suspected=-14.0, lost=0.0)
     no_machines = ZoneFacts(0, 0, 0)
     assert advance(status, no_machines, "", 11.0, TIMES).state is ZoneState.LOST
--- a/tests/test_zone_records.py
+++ b/tests/test_zone_records.py
@@ -1,6 +1,7 @@
 """Zone recovery: return order, task outcomes, stored records, what operators read, and settings."""
 
 import json
+from pathlib import Path
 
 import pytest
 from cluster_helpers import VALID_SETTINGS, wait
@@ -20,7 +21,7 @@
 from bayford.storage.key_value_store import Put
 
 
-def test_named_classes_return_first_and_others_by_priority():
+def test_named_classes_return_first_and_others_by_priority() -> None:
     cluster = World(policy=RECOVERY_POLICY)
     for number, lane, rank in (
         (1, "trickle", "idle"),
@@ -50,7 +51,9 @@
 
 
 @given(st.sets(st.tuples(st.integers(0, 2), st.integers(0, 4))), OUTCOME_EVENTS, st.integers(500, 4096))
-def test_each_task_has_one_outcome_and_the_record_fits_and_decodes_to_the_same(tasks, events, max_bytes):
+def test_each_task_has_one_outcome_and_the_record_fits_and_decodes_to_the_same(
+    tasks: set[tuple[int, int]], events: list[tuple[str, int, int]], max_bytes: int
+) -> None:
     outcomes = TaskOutcomes(1.0, 2.0, open={(f"req-{job:06d}", task) for job, task in tasks})
     for event, job, task in events:
         key = (f"req-{job:06d}", task)
@@ -75,7 +78,9 @@
 @pytest.mark.parametrize(
     "stored_value", [None, [], {"zone": "north"}, {"zone": "n", "state": "up", "since": 1.0, "v": 9}]
 )
-def test_an_unreadable_zone_record_is_an_error_and_counts_as_absent(stored_value, caplog):
+def test_an_unreadable_zone_record_is_an_error_and_counts_as_absent(
+    stored_value: object, caplog: pytest.LogCaptureFixture
+) -> None:
     with pytest.raises(zone_record.UnreadableRecordError):
         zone_record.decode(stored_value)
     cluster = recovery_cluster()
@@ -93,7 +98,7 @@
     return Put(zone_record.key(zone), value)
 
 
-def test_the_report_of_zones_names_each_loss_and_its_task_outcomes():
+def test_the_report_of_zones_names_each_loss_and_its_task_outcomes() -> None:
     loss = zone_record.Loss(
         10.0,
         24.0,
@@ -123,7 +128,9 @@
     assert zone_report.as_text([]) == "no zone was ever lost"
 
 
-def test_the_zones_command_says_when_the_state_service_is_out(tmp_path, capsys):
+def test_the_zones_command_says_when_the_state_service_is_out(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(VALID_SETTINGS)
     assert cli.main(["zones", "--config", str(path)]) == 1
@@ -140,7 +147,9 @@
         ("recovery_least = 1.5", "recovery_least"),
     ],
 )
-def test_an_invalid_recovery_setting_is_named(line, field, tmp_path, capsys):
+def test_an_invalid_recovery_setting_is_named(
+    line: str, field: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     settings, script = tmp_path / "settings.toml", tmp_path / "p.star"
     settings.write_text(VALID_SETTINGS)
     script.write_text(line + "\n")
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -26,7 +26,7 @@
     return recovery_cluster()
 
 
-def test_a_lost_zone_gets_no_work_and_every_task_has_one_outcome(cluster):
+def test_a_lost_zone_gets_no_work_and_every_task_has_one_outcome(cluster: World) -> None:
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 8.0)
@@ -47,7 +47,7 @@
     assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
 
 
-def test_a_suspect_zone_gets_no_work_and_a_returning_one_only_on_verified_machines(cluster):
+def test_a_suspect_zone_gets_no_work_and_a_returning_one_only_on_verified_machines(cluster: World) -> None:
     cut_zone_off(cluster)
     wait(cluster, 7.0)
     assert zone_state(cluster) == "suspect"
@@ -77,7 +77,7 @@
     assert len(running_in_zone(cluster)) == 2
 
 
-def test_only_a_few_machines_are_launched_into_a_zone_without_heartbeats(cluster):
+def test_only_a_few_machines_are_launched_into_a_zone_without_heartbeats(cluster: World) -> None:
     scheduler = cluster.nodes[cluster.leader()].scheduler
     scheduler.state.returning_zones = frozenset({scheduler.state.zones.find("south")})
     deleted_machines = [
@@ -124,7 +124,7 @@
     ]
 
 
-def test_a_job_cancelled_during_the_partition_does_not_run_again(cluster):
+def test_a_job_cancelled_during_the_partition_does_not_run_again(cluster: World) -> None:
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 22.0)
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("when", ["before", "during", "after"])
-def test_a_task_that_ends_on_a_machine_that_was_declared_lost(cluster, when):
+def test_a_task_that_ends_on_a_machine_that_was_declared_lost(cluster: World, when: str) -> None:
     """Its heartbeat arrives before the task is requeued, while it waits, or after another attempt's end."""
     lost_tasks = fill_with_one_job(cluster)
     task_id = lost_tasks[0]
@@ -170,7 +170,7 @@
     assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
 
 
-def test_late_copies_of_heartbeats_after_the_return_change_nothing(cluster):
+def test_late_copies_of_heartbeats_after_the_return_change_nothing(cluster: World) -> None:
     fill_with_one_job(cluster)
     copies = [worker.heartbeat() for worker in cluster.workers.values()]
     cut_zone_off(cluster)
@@ -186,7 +186,7 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
 
 
-def test_a_failover_while_a_zone_returns(cluster):
+def test_a_failover_while_a_zone_returns(cluster: World) -> None:
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 22.0)
@@ -205,7 +205,7 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
-def test_tasks_that_ended_between_two_leaders_are_counted_as_over(cluster):
+def test_tasks_that_ended_between_two_leaders_are_counted_as_over(cluster: World) -> None:
     """They were counted as cancelled, since their job was gone."""
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, yard="south", guess_s=900.0))
     cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south", guess_s=900.0))
@@ -231,7 +231,7 @@
     assert totals["over"] == 2 and totals["cancelled"] == 0 and sum(totals.values()) == 6
 
 
-def test_a_leader_in_the_lost_zone_is_replaced_and_the_next_one_records_the_loss(cluster):
+def test_a_leader_in_the_lost_zone_is_replaced_and_the_next_one_records_the_loss(cluster: World) -> None:
     fill_with_one_job(cluster)
     leader = cluster.leader()
     zone = cluster.nodes[leader].settings.site
@@ -260,7 +260,7 @@
 
 
 @pytest.mark.parametrize("back_first", [True, False])
-def test_the_store_is_down_as_the_zone_returns(cluster, back_first):
+def test_the_store_is_down_as_the_zone_returns(cluster: World, back_first: bool) -> None:
     fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 22.0)
@@ -277,7 +277,7 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
-def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back(cluster):
+def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back(cluster: World) -> None:
     fill_with_one_job(cluster)
     deleted_worker = next(worker for worker in cluster.workers.values() if worker.zone == "south")
     late_heartbeat = deleted_worker.heartbeat()
@@ -291,7 +291,7 @@
     }
 
 
-def test_services_bound_to_the_zone_and_gangs_partly_inside_it_resume(cluster):
+def test_services_bound_to_the_zone_and_gangs_partly_inside_it_resume(cluster: World) -> None:
     cluster.submit("n0", cluster.daemon(1, crew="open", parts=2, yard="south", loaners=True))
     cluster.submit("n0", cluster.job(2, crew="open", shape="gang", parts=6, guess_s=900.0))
     wait(cluster, 8.0)
@@ -313,7 +313,7 @@
     assert set(running_in_zone(cluster)) >= {"req-000001/0", "req-000001/1"}
 
 
-def test_work_returns_in_the_configured_order_and_none_starves(cluster):
+def test_work_returns_in_the_configured_order_and_none_starves(cluster: World) -> None:
     fill_with_one_job(cluster)
     cut_zone_off(cluster)
     wait(cluster, 36.0)  # until its machines are deleted
