--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -53,10 +53,21 @@
         cluster.check()
 
 
+def leader_name(cluster: World) -> str:
+    """The name of the leader; the test fails if there is none."""
+    name = cluster.leader()
+    assert name is not None, "there is no leader"
+    return name
+
+
+def leader_of(cluster: World) -> Controller:
+    """The leader; the test fails if there is none."""
+    return cluster.nodes[leader_name(cluster)]
+
+
 def leader_and_other(cluster: World) -> tuple[str, Controller, str]:
     """The leader's name, the leader, and the name of another controller."""
-    name = cluster.leader()
-    assert name is not None
+    name = leader_name(cluster)
     return name, cluster.nodes[name], next(n for n in cluster.nodes if n != name)
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -170,7 +170,14 @@
         self.now = 0.0
         self.levels: list[Level] = []
 
-    def run(self, seconds, demand, accepted=None, backlog=None):
+    def run(
+        self,
+        seconds: float,
+        demand: dict[Flow, float],
+        accepted: dict[Flow, float] | None = None,
+        backlog: dict[int, float] | None = None,
+    ) -> Level | None:
+        """Apply this demand for some simulated seconds; the level that is then in force."""
         self.load = replace(self.load, demand=demand, accepted=accepted or demand, backlog_s=backlog or {})
         for _ in range(int(seconds * 2)):
             self.now += 0.5
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -8,6 +8,7 @@
 import msgspec
 import orjson
 import pytest
+from cluster_helpers import leader_name, leader_of
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -19,7 +20,7 @@
 from bayford.protocol import jobs
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
-from bayford.storage.key_value_store import Put, Row
+from bayford.storage.key_value_store import Outcome, Put, Row
 from standins.admission_history import (
     SubmissionAnswer,
     accepted_under,
@@ -134,7 +135,7 @@
     )
     commit = cluster.state.execute
 
-    def level_first(conditions, puts):
+    def level_first(conditions: dict[str, int], puts: list[Put]) -> Outcome:
         if any(put.key.startswith(records.JOBS) for put in puts) and stored_level(cluster).number == 1:
             commit({}, [Put(records.ADMISSION, encode(strict, 4096))])
         return commit(conditions, puts)
@@ -165,7 +166,7 @@
 
 
 def test_a_level_that_is_applied_after_its_successors_has_no_effect(cluster: World) -> None:
-    leader = cluster.leader()
+    leader = leader_name(cluster)
     flood(cluster, 6, 1)
     cluster.state.hold.add(leader)
     node = cluster.nodes[leader]
@@ -281,9 +282,7 @@
     assert refusing.windows and {window.team for window in refusing.windows} == {"red"}
     assert {window.job_class for window in refusing.windows} == {"sweep"}, "urgent ones are admitted first"
     assert all(answer.status != 429 for answer in of_other_team + urgent)
-    assert cluster.nodes[cluster.leader()].writes.rate < 4.0, (
-        "the task log keeps to the writes that acceptances leave"
-    )
+    assert leader_of(cluster).writes.rate < 4.0, "the task log keeps to the writes that acceptances leave"
     assert any(answer.status == 201 for answer in answers[-400:]), (
         "jobs of the flood itself are still accepted"
     )
@@ -292,7 +291,7 @@
         cluster.step()
         numbers.append(stored_level(cluster).number)
     assert stored_level(cluster).is_open
-    assert cluster.nodes[cluster.leader()].writes.rate == pytest.approx(7.0)
+    assert leader_of(cluster).writes.rate == pytest.approx(7.0)
     assert len(set(numbers[30:])) == 1, "no oscillation"
     assert submit(cluster, "n1", 9999).status == 201
     history = [Row(row.key, row.value, row.version) for row in cluster.state.log]
@@ -302,7 +301,7 @@
 
 def test_completions_of_urgent_jobs_are_recorded_before_those_of_others() -> None:
     cluster = admission_cluster(machines=2)
-    leader = cluster.leader()
+    leader = leader_name(cluster)
     scheduler = cluster.nodes[leader].scheduler
     for number in range(1, 5):
         assert submit(cluster, leader, number).status == 201
@@ -320,15 +319,15 @@
         and len(scheduler.state.pending_completions) == 5
     )
     batch = scheduler.take_batch(2)
-    assert batch.over[0] == "req-000005" and len(batch.over) == 1
+    assert batch is not None and batch.over[0] == "req-000005" and len(batch.over) == 1
 
 
 def test_accepted_jobs_are_noted_while_the_leader_computes_a_level(cluster: World) -> None:
     """The leader's state is locked when it notes an accepted job: no deadlock with the step."""
-    node = cluster.nodes[cluster.leader()]
+    node = leader_of(cluster)
     control, task_log = node._admission, TaskLogFacts(0, 0.0)
 
-    def gather():
+    def gather() -> WorkloadFacts:
         control.note_accepted(SWEEP, cluster.clock.now)  # as another thread does under the state's lock
         return WorkloadFacts(frozenset(), {})
 
@@ -344,7 +343,7 @@
 
 def test_a_backlog_counts_only_while_the_cloud_has_no_more_machines() -> None:
     cluster = admission_cluster(machines=2)
-    leader = cluster.leader()
+    leader = leader_name(cluster)
     scheduler = cluster.nodes[leader].scheduler
     cluster.submit(leader, cluster.job(1, parts=50, guess_s=100.0, crew="open"))
     cluster.step()
@@ -387,46 +386,46 @@
     def __init__(self) -> None:
         super().__init__()
         self.cluster = admission_cluster(machines=1)
-        self.answers = []
+        self.answers: list[SubmissionAnswer] = []
         self.number = 0
 
     @rule(share=st.sampled_from([0.05, 0.3, 0.7]), start=st.integers(0, POSITIONS - 1))
-    def publish(self, share, start):
+    def publish(self, share: float, start: int) -> None:
         row = self.cluster.state.rows.get(records.ADMISSION)
         number = 1 if row is None else row[0]["number"] + 1
         publish(self.cluster, encode(level(share, number, start), 4096))
 
     @rule(node=st.sampled_from(NODES), number=st.integers(1, 6))
-    def submit(self, node, number):
+    def submit(self, node: str, number: int) -> None:
         self.answers.append(submit(self.cluster, node, number))
 
     @rule(node=st.sampled_from(NODES), fault=st.sampled_from(["lose_answer", "hold"]))
-    def lose(self, node, fault):
+    def lose(self, node: str, fault: str) -> None:
         getattr(self.cluster.state, fault).add(node)
 
     @rule(node=st.sampled_from(NODES), cut=st.booleans())
-    def cut(self, node, cut):
+    def cut(self, node: str, cut: bool) -> None:
         (self.cluster.state.refuses.add if cut else self.cluster.state.refuses.discard)(node)
 
     @rule()
-    def carry_out_late(self):
+    def carry_out_late(self) -> None:
         self.cluster.state.release()
 
     @rule(node=st.sampled_from(NODES), knows=st.booleans())
-    def restart(self, node, knows):
+    def restart(self, node: str, knows: bool) -> None:
         self.cluster.boot(node, ADMISSION_ON if knows else Policy(hold_s=0.0, hold_idle_s=0.0))
 
     @precondition(lambda self: records.ADMISSION in self.cluster.state.rows)
     @rule()
-    def delete_level(self):
+    def delete_level(self) -> None:
         self.cluster.state.execute({}, [Put(records.ADMISSION, None)])
 
     @rule()
-    def go_on(self):
+    def go_on(self) -> None:
         self.cluster.step()
 
     @invariant()
-    def no_acceptance_violates_its_level(self):
+    def no_acceptance_violates_its_level(self) -> None:
         flows = {f"req-{n:06d}": SWEEP for n in range(1, 7)}
         assert against_level(self.cluster.state.log, flows) == []
         assert refused_wrongly(self.cluster.state.log, self.answers, flows) == []
--- a/tests/test_cancellation_under_faults.py
+++ b/tests/test_cancellation_under_faults.py
@@ -20,7 +20,9 @@
 )
 from world import Worker, World
 
+from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.protocol import mesh
+from bayford.storage.records import Record
 from bayford.transport.http_handlers import PeerHandler
 from bayford.transport.http_server import Request
 
@@ -382,7 +384,7 @@
     recover = node.scheduler.recover
     answers = []
 
-    def recover_and_cancel(recovered):
+    def recover_and_cancel(recovered: RecoveredState) -> None:
         recover(recovered)
         answers.append(cluster.cancel(third, "req-000002"))
 
@@ -437,7 +439,7 @@
     reconciling, go_on = threading.Event(), threading.Event()
     reconcile_job = leader.scheduler.reconcile_job
 
-    def reconcile_slowly(record, version):
+    def reconcile_slowly(record: Record, version: int) -> None:
         reconciling.set()
         assert go_on.wait(30.0)
         reconcile_job(record, version)
--- a/tests/test_launch_planning.py
+++ b/tests/test_launch_planning.py
@@ -1,6 +1,7 @@
 """Launch plans: which machines are asked of the cloud for the demand."""
 
 import dataclasses
+from collections.abc import Sequence
 
 from world import World
 
@@ -12,7 +13,13 @@
     spot, on_demand = scaling.MachinePool(0, 0, True), scaling.MachinePool(0, 0, False)
     demand = scaling.Demand(frozenset({spot, on_demand}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
 
-    def plan_for(demand, refused=(), spare=None, yielded=0.0, busy=50.0):
+    def plan_for(
+        demand: scaling.Demand,
+        refused: Sequence[scaling.MachinePool] = (),
+        spare: dict[scaling.MachinePool, int] | None = None,
+        yielded: float = 0.0,
+        busy: float = 50.0,
+    ) -> list[tuple[scaling.MachinePool, int]]:
         demand = dataclasses.replace(demand, yielded=yielded)
         plans = scaling.plan_launches([demand], types, spare or {}, frozenset(refused), busy, 1e9, 2.0)
         return [(plan.pool, plan.count) for plan in plans]
--- a/tests/test_leadership_transfer.py
+++ b/tests/test_leadership_transfer.py
@@ -32,7 +32,7 @@
 
 
 def fencing_token(cluster: World) -> int:
-    return cluster.state.rows[records.LEADERSHIP][0]["token"]
+    return int(cluster.state.rows[records.LEADERSHIP][0]["token"])
 
 
 def test_a_leader_without_workers_transfers_leadership_and_no_task_stops() -> None:
--- a/tests/test_random_concurrent_faults.py
+++ b/tests/test_random_concurrent_faults.py
@@ -1,5 +1,7 @@
 """Two or three faults at the same time, drawn by a seed; the simulated cluster checks the rules."""
 
+from typing import Any
+
 import pytest
 from cluster_helpers import (
     clear_faults,
@@ -119,7 +121,7 @@
     wait(cluster, 2.0)
     rng = cluster.rng
     number = 0
-    fields: dict[int, dict] = {}
+    fields: dict[int, dict[str, Any]] = {}
     for _ in range(4):
         faults = rng.sample(FAULTS, rng.choice([2, 3]))
         for step in range(24):
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -33,7 +33,7 @@
     """Machines for `count` tasks; each is reserved before the next is chosen."""
     average = 1.0 - sum(m.free_cpus for m in fleet) / sum(m.cpus for m in fleet)
     chooser = Chooser(job, fleet, average, weights, lambda machine: FETCH_S)
-    chosen = []
+    chosen: list[Machine] = []
     while len(chosen) < count and (choice := chooser.next()) is not None:
         choice.machine.reserve(job.spec)
         choice.machine.images.setdefault(job.image, False)
--- a/tests/test_zone_records.py
+++ b/tests/test_zone_records.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 import pytest
-from cluster_helpers import VALID_SETTINGS, wait
+from cluster_helpers import VALID_SETTINGS, leader_name, wait
 from hypothesis import given
 from hypothesis import strategies as st
 from world import World
@@ -85,7 +85,7 @@
         zone_record.decode(stored_value)
     cluster = recovery_cluster()
     cluster.state._change([put_zone_record("north", stored_value or 0)])
-    cluster.boot(cluster.leader())
+    cluster.boot(leader_name(cluster))
     wait(cluster, 10.0, fleet=True)
     assert any("taken for absent" in record.getMessage() for record in caplog.records)
     cluster.submit("n0", cluster.job(9, crew="open"))
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -1,7 +1,7 @@
 """Loss and return of a zone in the simulated cluster."""
 
 import pytest
-from cluster_helpers import running_tasks, wait
+from cluster_helpers import leader_name, leader_of, running_tasks, wait
 from world import World
 from zone_helpers import (
     RECOVERY_POLICY,
@@ -35,9 +35,7 @@
     wait(cluster, 14.0)
     assert zone_state(cluster) == "lost"
     assert stored_zone_record(cluster).losses[-1].totals()["open"] == len(lost_tasks)
-    assert cluster.nodes[cluster.leader()].scheduler.state.jobs["req-000002"].waiting == [0], (
-        "nothing is placed there"
-    )
+    assert leader_of(cluster).scheduler.state.jobs["req-000002"].waiting == [0], "nothing is placed there"
     reconnect_zones(cluster)
     wait(cluster, 50.0)
     assert zone_state(cluster) == "up"
@@ -53,7 +51,7 @@
     assert zone_state(cluster) == "suspect"
     cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south"))
     wait(cluster, 14.0)
-    scheduler = cluster.nodes[cluster.leader()].scheduler
+    scheduler = leader_of(cluster).scheduler
     assert zone_state(cluster) == "lost"
     assert scheduler.state.jobs["req-000002"].open == {}, (
         "no placement on machines without a recent heartbeat, though they have capacity"
@@ -78,7 +76,7 @@
 
 
 def test_only_a_few_machines_are_launched_into_a_zone_without_heartbeats(cluster: World) -> None:
-    scheduler = cluster.nodes[cluster.leader()].scheduler
+    scheduler = leader_of(cluster).scheduler
     scheduler.state.returning_zones = frozenset({scheduler.state.zones.find("south")})
     deleted_machines = [
         machine
@@ -117,7 +115,7 @@
         [machine.name for machine in scheduler.state.machines.values() if machine.zone == south.zone]
     )
     cluster.submit("n0", cluster.job(1, crew="open", parts=80, guess_s=900.0, yard="south"))
-    cluster.nodes[cluster.leader()].watch_cache.pull(0.0)
+    leader_of(cluster).watch_cache.pull(0.0)
     step = scheduler.scaling_step(cluster.clock.now)
     assert [(order.zone, order.count) for order in step.launches] == [
         ("south", RECOVERY_POLICY.recovery_least)
@@ -155,11 +153,11 @@
         wait(cluster, 30.0)
         cluster.finish(task_id)
         wait(cluster, 4.0)
-    cluster.replay(late_heartbeat, cluster.leader())
+    cluster.replay(late_heartbeat, leader_name(cluster))
     wait(cluster, 4.0)
     reconnect_zones(cluster)
     wait(cluster, 40.0)
-    leader = cluster.nodes[cluster.leader()].scheduler
+    leader = leader_of(cluster).scheduler
     if when == "during":
         assert worker.name in cluster.deleted, (
             "its machine is deleted by then, and its heartbeat has no effect"
@@ -179,8 +177,8 @@
     wait(cluster, 6.0)
     before = running_tasks(cluster), zone_state(cluster)
     for copy in copies:
-        cluster.replay(copy, cluster.leader())
-    scheduler = cluster.nodes[cluster.leader()].scheduler
+        cluster.replay(copy, leader_name(cluster))
+    scheduler = leader_of(cluster).scheduler
     scheduler.round()
     assert (running_tasks(cluster), zone_state(cluster)) == before
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
@@ -193,7 +191,7 @@
     assert zone_state(cluster) == "lost"
     reconnect_zones(cluster)
     wait(cluster, 4.0)
-    first = cluster.leader()
+    first = leader_name(cluster)
     del cluster.nodes[first]
     wait(cluster, 5.0)
     assert cluster.leader() not in (None, first)
@@ -214,7 +212,7 @@
     assert len(lost_tasks) == 6
     cut_zone_off(cluster)
     wait(cluster, 22.0)
-    leader = cluster.leader()
+    leader = leader_name(cluster)
     scheduler = cluster.nodes[leader].scheduler
     record_then = cluster.state.rows[zone_record.key("south")]
     reconnect_zones(cluster)
@@ -233,7 +231,7 @@
 
 def test_a_leader_in_the_lost_zone_is_replaced_and_the_next_one_records_the_loss(cluster: World) -> None:
     fill_with_one_job(cluster)
-    leader = cluster.leader()
+    leader = leader_name(cluster)
     zone = cluster.nodes[leader].settings.site
     cut_zone_off(cluster, zone)
     for name, node in cluster.nodes.items():
@@ -284,11 +282,9 @@
     cut_zone_off(cluster)
     wait(cluster, 40.0)
     assert deleted_worker.name in cluster.deleted
-    before = cluster.nodes[cluster.leader()].scheduler.state.machines.keys()
-    cluster.replay(late_heartbeat, cluster.leader())
-    assert deleted_worker.name not in {
-        cluster.nodes[cluster.leader()].scheduler.state.machine_names[i] for i in before
-    }
+    before = leader_of(cluster).scheduler.state.machines.keys()
+    cluster.replay(late_heartbeat, leader_name(cluster))
+    assert deleted_worker.name not in {leader_of(cluster).scheduler.state.machine_names[i] for i in before}
 
 
 def test_services_bound_to_the_zone_and_gangs_partly_inside_it_resume(cluster: World) -> None:
@@ -333,7 +329,7 @@
     assert {task_id[:10] for task_id in running_in_zone(cluster)} == {"req-000004", "req-000003"}, (
         "hot, then sweep"
     )
-    jobs = cluster.nodes[cluster.leader()].scheduler.state.jobs
+    jobs = leader_of(cluster).scheduler.state.jobs
     hot, sweep = (
         [placement.attempt for placement in jobs[name].open.values()] for name in ("req-000004", "req-000003")
     )
--- a/tests/test_zone_recovery_random.py
+++ b/tests/test_zone_recovery_random.py
@@ -2,7 +2,7 @@
 
 import random
 
-from cluster_helpers import running_tasks, wait
+from cluster_helpers import leader_name, running_tasks, wait
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
@@ -66,7 +66,7 @@
     @precondition(lambda self: self.cluster.leader() is not None)
     @rule()
     def end_leader(self) -> None:
-        self.cluster.boot(self.cluster.leader())
+        self.cluster.boot(leader_name(self.cluster))
 
     @rule(seconds=st.sampled_from([1.0, 4.0, 14.0]))
     def time_passes(self, seconds: float) -> None:
--- a/tests/zone_helpers.py
+++ b/tests/zone_helpers.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from cluster_helpers import running_tasks, wait
+from cluster_helpers import leader_of, running_tasks, wait
 from world import World
 
 from bayford.recovery import zone_record
@@ -43,7 +43,7 @@
 
 def zone_state(cluster: World, zone: str = "south") -> str:
     """The state of a zone as the leader has it."""
-    leader = cluster.nodes[cluster.leader()].scheduler
+    leader = leader_of(cluster).scheduler
     return leader.zone_monitor.statuses[leader.state.zones.find(zone)].state.value
 
 
