--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -165,7 +165,7 @@
 
     def __init__(self, capacity: float = 5.0) -> None:
         self.control = LevelControl(TIMES)
-        self.level: Level | None = None
+        self.stored: Level | None = None
         self.load = Load({}, {}, capacity, capacity, {"red": 0.0})
         self.now = 0.0
         self.levels: list[Level] = []
@@ -177,37 +177,47 @@
         accepted: dict[Flow, float] | None = None,
         backlog: dict[int, float] | None = None,
     ) -> Level | None:
-        """Apply this demand for some simulated seconds; the level that is then in force."""
+        """Apply this demand for some simulated seconds; the level that is then stored."""
         self.load = replace(self.load, demand=demand, accepted=accepted or demand, backlog_s=backlog or {})
         for _ in range(int(seconds * 2)):
             self.now += 0.5
-            key = KEY if self.level is None else "08" * 32  # a new one counts when refusing begins
-            new_level = self.control.next_level(self.level, self.load, self.now, 1e9 + self.now, key)
+            key = KEY if self.stored is None else "08" * 32  # a new one counts when refusing begins
+            new_level = self.control.next_level(self.stored, self.load, self.now, 1e9 + self.now, key)
             if new_level is not None:
-                self.level = new_level
+                self.stored = new_level
                 self.levels.append(new_level)
-        return self.level
+        return self.stored
+
+    @property
+    def level(self) -> Level:
+        """The stored level; the test fails if there is none."""
+        assert self.stored is not None
+        return self.stored
 
 
 def test_refusing_begins_above_the_capacity_and_ends_without_oscillation() -> None:
     simulation = SimulatedDemand()
     assert simulation.run(30, {SWEEP: 6.0}) is None, "a fifth above the capacity is tolerated"
-    level = simulation.run(20, {SWEEP: 50.0, BUILD: 2.0}, {SWEEP: 3.0, BUILD: 2.0})
+    simulation.run(20, {SWEEP: 50.0, BUILD: 2.0}, {SWEEP: 3.0, BUILD: 2.0})
+    level = simulation.level
     assert level.reason == SUBMISSIONS and [w.flow for w in level.windows] == [SWEEP]
     assert len(simulation.levels) <= 20 / TIMES.interval_s + 1, "the minimum interval"
-    numbers = [each.number for each in simulation.levels]
+    numbers = [level.number for level in simulation.levels]
     assert numbers == sorted(set(numbers))
-    assert {(each.key, each.since) for each in simulation.levels} == {(KEY, simulation.levels[0].since)}
+    assert {(level.key, level.since) for level in simulation.levels} == {(KEY, simulation.levels[0].since)}
     for before, after in itertools.pairwise(simulation.levels):
         moved = (after.windows[0].start - before.windows[0].start) % POSITIONS
         assert moved == before.step(before.windows[0]), "the window moves on without skipping a position"
-    assert not simulation.run(9, {SWEEP: 1.0}).is_open, "within the capacity, but not for long enough"
-    assert not simulation.run(4, {SWEEP: 4.5}).is_open, "between the two bounds the state stays"
-    opened = simulation.run(14, {SWEEP: 1.0})
+    simulation.run(9, {SWEEP: 1.0})
+    assert not simulation.level.is_open, "within the capacity, but not for long enough"
+    simulation.run(4, {SWEEP: 4.5})
+    assert not simulation.level.is_open, "between the two bounds the state stays"
+    simulation.run(14, {SWEEP: 1.0})
+    opened = simulation.level
     assert opened.is_open and opened.number == numbers[-1] + len(simulation.levels) - len(numbers)
-    before = len(simulation.levels)
+    count_before = len(simulation.levels)
     simulation.run(60, {SWEEP: 5.5})
-    assert len(simulation.levels) == before, "everything stays admitted"
+    assert len(simulation.levels) == count_before, "everything stays admitted"
 
 
 def test_the_widths_follow_the_rate_of_acceptances() -> None:
@@ -221,7 +231,8 @@
 def test_a_long_backlog_makes_the_level_refuse_that_class() -> None:
     simulation = SimulatedDemand()
     assert simulation.run(20, {SWEEP: 1.0}) is None
-    level = simulation.run(20, {SWEEP: 1.0, BUILD: 1.0}, backlog={2: 10.0, 1: 3600.0})
+    simulation.run(20, {SWEEP: 1.0, BUILD: 1.0}, backlog={2: 10.0, 1: 3600.0})
+    level = simulation.level
     assert level.reason == BACKLOG and [w.flow for w in level.windows] == [SWEEP] and level.accept_rps == 0
 
 
--- a/tests/test_cancellation_under_faults.py
+++ b/tests/test_cancellation_under_faults.py
@@ -314,7 +314,7 @@
 
 
 @pytest.mark.parametrize("request_kind", ["cancel", "question", "repeat"])
-@pytest.mark.parametrize("moment", ["ended", "reported", "writing", "written"])
+@pytest.mark.parametrize("moment", ["ended", "heartbeat", "writing", "written"])
 def test_a_cancellation_query_or_idempotent_request_races_with_the_end_of_the_last_task(
     request_kind: str, moment: str
 ) -> None:
@@ -328,11 +328,13 @@
         batch = leader.scheduler.take_batch(12)
         assert batch is not None and batch.over == ["req-000001"]
     if moment == "written":
+        assert batch is not None
         leader._write(batch)
     phases = set(cluster.look(1, parts=1, guess_s=500.0))
     if request_kind == "cancel":
         assert cluster.cancel(other, "req-000001") == ("done" if moment == "written" else "aborted")
     if moment == "writing":
+        assert batch is not None
         leader._write(batch)
     assert phases == ({"done"} if moment == "written" else {"running"})
     wait(cluster, 3.0, fleet=False)
--- a/tests/test_leadership_transfer.py
+++ b/tests/test_leadership_transfer.py
@@ -178,8 +178,8 @@
         (2, {"n1": 10}, None),
         (0, {"n1": 5, "n2": 5}, None),
         (0, {"n1": 6, "n2": 5}, "n1"),
-        (0, {"n1": 6, "gone": 9}, None),
-        (0, {"gone": 9}, None),
+        (0, {"n1": 6, "ended": 9}, None),
+        (0, {"ended": 9}, None),
     ],
 )
 def test_the_successor_receives_most_heartbeats_and_the_leader_almost_none(
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -123,9 +123,9 @@
 ) -> None:
     names = [f"vm-{n}" for n in sorted(numbers)]
     best = max(names, key=lambda name: rendezvous(image, name))
-    for deleted_machines in names:
-        if deleted_machines != best:
-            remaining = [name for name in names if name != deleted_machines]
+    for removed in names:
+        if removed != best:
+            remaining = [name for name in names if name != removed]
             assert max(remaining, key=lambda name: rendezvous(image, name)) == best
 
 
@@ -229,8 +229,8 @@
 ) -> None:
     budget = RestartBudget({"sweep": limit}, 9)
     restarts_of = dict.fromkeys(range(4), 0)
-    for task, takeover in events:
-        if takeover and budget.knows("req-1"):
+    for task, failover in events:
+        if failover and budget.knows("req-1"):
             stored = budget.encode("req-1")
             budget = RestartBudget({"sweep": limit}, 9)
             budget.load("req-1", stored)
@@ -302,7 +302,7 @@
         {"guess_s": 12.0},  # it ends soon
     ],
 )
-def test_tasks_without_checkpoints_or_near_their_end_are_not_migrated(job: dict[str, float]) -> None:
+def test_tasks_without_checkpoints_or_near_their_end_are_not_migrated(job: dict[str, Any]) -> None:
     cluster = unbalanced_cluster(**job)
     before = {worker.name: worker.running() for worker in cluster.workers.values()}
     wait(cluster, 60.0, fleet=False)
@@ -453,20 +453,20 @@
 
 
 @pytest.mark.parametrize(
-    "condition", ["noticed", "silent", "unresponsive", "refusing", "relayed", "deleting"]
+    "change",
+    [
+        pytest.param({"reclaim_at": 130.0}, id="reclaim notice"),
+        pytest.param({"last_heartbeat_at": 90.0}, id="silent"),
+        pytest.param({"token_acknowledged": False}, id="unresponsive"),
+        pytest.param({"backoff_until": 102.0}, id="in back-off"),
+        pytest.param({"relay": "n2"}, id="relayed"),
+        pytest.param({"deleting": True}, id="deleting"),
+    ],
 )
-def test_an_idle_machine_in_such_a_condition_is_no_migration_target(condition: str) -> None:
+def test_an_idle_machine_in_such_a_condition_is_no_migration_target(change: dict[str, object]) -> None:
     machine = idle_machines(1)[0]
     machine.registered, machine.last_heartbeat_at = True, 100.0
     assert picture(machine, 101.0).accepts(5.0)
-    change = {
-        "noticed": {"reclaim_at": 130.0},
-        "silent": {"last_heartbeat_at": 90.0},
-        "unresponsive": {"token_acknowledged": False},
-        "refusing": {"backoff_until": 102.0},
-        "relayed": {"relay": "n2"},
-        "deleting": {"deleting": True},
-    }[condition]
     for name, value in change.items():
         setattr(machine, name, value)
     assert not picture(machine, 101.0).accepts(5.0)
--- a/tests/test_task_log.py
+++ b/tests/test_task_log.py
@@ -2,6 +2,8 @@
 
 import random
 from collections.abc import Callable
+from functools import partial
+from typing import Any
 
 import orjson
 import pytest
@@ -17,7 +19,7 @@
         self.rng = random.Random(seed)
         self.task_log = TaskLog(layout_bytes)
         self.row_bytes = row_bytes
-        self.stored: dict[str, tuple[int, object]] = {}
+        self.stored: dict[str, tuple[int, Any]] = {}
         self.truth: dict[str, dict[int, object]] = {}
         self.over: set[str] = set()
         self.attempt = 1
@@ -177,15 +179,15 @@
         stored[slot] = value
         task_log.apply_row(slot, task_log.next + 1, value)
 
+    def add_open(builder: RowBuilder, job_id: str, task: int, attempt: int, machine: str) -> None:
+        builder.add_open(job_id, task, attempt, machine, 1)
+
     for task in range(task_log.block):
-        append(
-            lambda builder, task=task: builder.add_open(
-                "req-1", task, 10**6 + task, f"vm-of-a-long-name-{task:09d}", 1
-            )
-        )
+        machine = f"vm-of-a-long-name-{task:09d}"
+        append(partial(add_open, job_id="req-1", task=task, attempt=10**6 + task, machine=machine))
     before = dict(task_log.jobs["req-1"].open)
     for n in range(3000):
-        append(lambda builder, n=n: builder.add_open("req-2", n % 7, n, "vm-2", 1))
+        append(partial(add_open, job_id="req-2", task=n % 7, attempt=n, machine="vm-2"))
     assert len(stored) <= 2 * KEEP_ROWS * 8 + task_log.block
     assert task_log.jobs["req-1"].open == before
     rebuilt = TaskLog(8192)
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -11,6 +11,7 @@
     recovery_cluster,
     running_in_zone,
     stored_zone_record,
+    zone_index,
     zone_state,
 )
 
@@ -77,19 +78,17 @@
 
 def test_only_a_few_machines_are_launched_into_a_zone_without_heartbeats(cluster: World) -> None:
     scheduler = leader_of(cluster).scheduler
-    scheduler.state.returning_zones = frozenset({scheduler.state.zones.find("south")})
-    deleted_machines = [
+    scheduler.state.returning_zones = frozenset({zone_index(scheduler, "south")})
+    machines_elsewhere = [
         machine
         for machine in scheduler.state.machines.values()
         if machine.zone not in scheduler.state.returning_zones
     ]
     present = [
         (scaling.MachinePool(machine.type, machine.zone, machine.spot), machine)
-        for machine in deleted_machines
+        for machine in machines_elsewhere
     ]
-    south, north = (
-        scaling.MachinePool(0, scheduler.state.zones.find(name), True) for name in ("south", "north")
-    )
+    south, north = (scaling.MachinePool(0, zone_index(scheduler, name), True) for name in ("south", "north"))
     plans = [scaling.LaunchPlan(south, 20, "backlog"), scaling.LaunchPlan(north, 20, "backlog")]
     assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [
         RECOVERY_POLICY.recovery_least,
@@ -102,7 +101,7 @@
             next(
                 machine.index
                 for machine in scheduler.state.machines.values()
-                if machine not in deleted_machines
+                if machine not in machines_elsewhere
             )
         }
     )
@@ -244,7 +243,7 @@
     for name in others:
         if cluster.nodes[name].scheduler.leader:
             monitor = cluster.nodes[name].scheduler.zone_monitor
-            lost = cluster.nodes[name].scheduler.state.zones.find(zone)
+            lost = zone_index(cluster.nodes[name].scheduler, zone)
             assert monitor.statuses[lost].state is not ZoneState.UP
             assert sum(monitor.losses[lost][0].record().totals().values()) == 16
             break
--- a/tests/zone_helpers.py
+++ b/tests/zone_helpers.py
@@ -5,6 +5,7 @@
 from cluster_helpers import leader_of, running_tasks, wait
 from world import World
 
+from bayford.coordination.leader.scheduler import Scheduler
 from bayford.recovery import zone_record
 from bayford.scheduling.policy import Policy
 
@@ -41,10 +42,17 @@
     cluster.cut.clear()
 
 
+def zone_index(scheduler: Scheduler, zone: str) -> int:
+    """The index of a zone that the scheduler knows."""
+    index = scheduler.state.zones.find(zone)
+    assert index is not None, f"no machine in {zone} is known"
+    return index
+
+
 def zone_state(cluster: World, zone: str = "south") -> str:
     """The state of a zone as the leader has it."""
-    leader = leader_of(cluster).scheduler
-    return leader.zone_monitor.statuses[leader.state.zones.find(zone)].state.value
+    scheduler = leader_of(cluster).scheduler
+    return scheduler.zone_monitor.statuses[zone_index(scheduler, zone)].state.value
 
 
 def stored_zone_record(cluster: World, zone: str = "south") -> zone_record.ZoneRecord:
--- a/tools/deadline_bound.py
+++ b/tools/deadline_bound.py
@@ -2,12 +2,12 @@
 
     python3 tools/deadline_bound.py SITE.toml [--days 50] [--seed 1]
 
-Draws arrivals, sizes, run times and boot times from what the site file says of them, without any trouble,
+Draws arrivals, sizes, run times and boot times as the site file describes them, without any fault,
 and counts the jobs that could be in time if all work were fluid: spread over every CPU that is up, preempted
 and moved for nothing, known in advance. A job is late for sure if its longest task alone is, or if it does
 not fit into what the machines can do by its deadline together with the jobs that must be done before (Moore
-and Hodgson, which drops as few as possible). So the share printed is one that nobody beats; how near one
-could come to it is not said. Lower priorities get what is left when all work of higher ones is done at once.
+and Hodgson, which drops as few as possible). So no scheduler exceeds the share that is printed; how close one
+could come to it is not known. Lower priorities get what is left when all work of higher ones is done at once.
 """
 
 import argparse
