--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -2,57 +2,12 @@
 
 from typing import Any
 
+from test_stories import quiet, running, wait
 from world import SETTINGS, Worker, World
 
 from bayford.coordination.controller import Controller
 
 
-def idle_cluster(machines: int = 2, nodes: int = 1, **cluster_options: Any) -> World:
-    """A cluster with some machines that send heartbeats, a leader and no jobs."""
-    cluster = World(nodes, **cluster_options)
-    for _ in range(machines):
-        cluster.machine()
-    for _ in range(3):
-        cluster.step()
-    assert cluster.leader() is not None
-    return cluster
-
-
-def running_tasks(cluster: World) -> list[str]:
-    """The tasks that run, sorted; a task that runs twice is there twice."""
-    return sorted(task_id for worker in cluster.workers.values() for task_id in worker.running())
-
-
-def leader_with_uncommitted_placements(cluster: World, leader: str = "n0", **fields: Any) -> Controller:
-    """The leader, which has placed the tasks of job 1 in memory and has not written the placements yet."""
-    cluster.submit(leader, cluster.job(1, **fields))
-    node = cluster.nodes[leader]
-    node.watch_cache.pull(0.0)
-    node.scheduler.round()
-    return node
-
-
-def wait(cluster: World, seconds: float, fleet: bool = True, wander: bool = True) -> None:
-    """Advance the simulated clock in steps of 0.5 s: controllers and workers act, and the rules are checked.
-
-    `fleet`: whether the leader's cloud operations run as well. `wander`: whether workers send heartbeats,
-    each to the controller that it finds by itself.
-    """
-    for _ in range(int(seconds * 2)):
-        cluster.pass_time(0.5)
-        cluster.state.expire()
-        for name in list(cluster.nodes):
-            cluster.step_node(name)
-        for worker in list(cluster.workers.values()):
-            if wander:
-                cluster.wander(worker)
-        for name in list(cluster.nodes):
-            cluster.step_node(name)
-            if fleet:
-                cluster.fleet(name)
-        cluster.check()
-
-
 def leader_name(cluster: World) -> str:
     """The name of the leader; the test fails if there is none."""
     name = cluster.leader()
@@ -73,10 +28,10 @@
 
 def cluster_running_a_job(parts: int = 4, machines: int = 2, nodes: int = 3, **cluster_options: Any) -> World:
     """A cluster in which all tasks of job 1 run, with long to go; workers send heartbeats to the leader."""
-    cluster = idle_cluster(machines=machines, nodes=nodes, **cluster_options)
+    cluster = quiet(machines=machines, nodes=nodes, **cluster_options)
     cluster.submit("n0", cluster.job(1, parts=parts, guess_s=500.0))
     wait(cluster, 4.0, fleet=False)
-    assert len(running_tasks(cluster)) == parts
+    assert len(running(cluster)) == parts
     return cluster
 
 
@@ -96,14 +51,13 @@
 
 def clear_faults(cluster: World) -> None:
     """End all faults and restart the controllers that are down."""
-    store = cluster.state
-    store.down = False
+    cluster.state.down = False
     for affected in (
-        store.refuses,
-        store.blind,
-        store.lost,
-        store.lagging,
-        store.unanswered,
+        cluster.state.refuses,
+        cluster.state.blind,
+        cluster.state.lost,
+        cluster.state.lagging,
+        cluster.state.unanswered,
         cluster.cut,
         cluster.mesh_cut,
         cluster.frozen,
@@ -131,13 +85,13 @@
         stuck_since = {job_id: stuck_since.get(job_id, cluster.clock.now) for job_id in stuck_jobs}
         for job_id, stuck_at in stuck_since.items():
             assert cluster.clock.now - stuck_at < 90.0, f"{job_id} waits for 90 s though it fits"
-        for task_id in running_tasks(cluster):
+        for task_id in running(cluster):
             if cluster.rng.random() < 0.2:
                 cluster.finish(task_id)
     for name in cluster.nodes:
         for job_id in sorted(cluster.accepted):
             assert cluster.query(name, job_id) in ("done", "aborted"), f"{job_id} never ended"
-    assert not running_tasks(cluster)
+    assert not running(cluster)
 
 
 def kill_controller(cluster: World, name: str) -> None:
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -287,7 +287,8 @@
     assert {window.team for window in refusing.windows} == {"red"}
     assert {window.job_class for window in refusing.windows} == {"sweep"}, "urgent ones are admitted first"
     assert all(answer.status != 429 for answer in of_other_team + urgent)
-    assert leader_of(cluster).writes.rate < 4.0, "the task log keeps to the writes that acceptances leave"
+    leader = leader_of(cluster)
+    assert leader.writes.rate < 4.0, "the task log keeps to the writes that acceptances leave"
     assert any(answer.status == 201 for answer in answers[-400:]), (
         "jobs of the flood itself are still accepted"
     )
@@ -296,7 +297,7 @@
         cluster.step()
         numbers.append(stored_level(cluster).number)
     assert stored_level(cluster).is_open
-    assert leader_of(cluster).writes.rate == pytest.approx(7.0)
+    assert leader.writes.rate == pytest.approx(7.0)
     assert len(set(numbers[30:])) == 1, "no oscillation"
     assert submit(cluster, "n1", 9999).status == 201
     history = [Row(row.key, row.value, row.version) for row in cluster.state.log]
--- a/tests/test_cancellation_under_faults.py
+++ b/tests/test_cancellation_under_faults.py
@@ -9,17 +9,14 @@
 import pytest
 from cluster_helpers import (
     cluster_running_a_job,
-    idle_cluster,
     kill_controller,
     leader_and_other,
     leader_name,
     leader_of,
-    leader_with_uncommitted_placements,
     recover_and_check,
-    running_tasks,
-    wait,
     worker_with_running_tasks,
 )
+from test_stories import decided, quiet, running, wait
 from world import Worker, World
 
 from bayford.coordination.leader.recovered_state import RecoveredState
@@ -46,13 +43,13 @@
     cluster.state.down = True
     assert not leader.watch_cache.is_cancelled("req-000001"), "the leader has not read it"
     wait(cluster, 2.0)
-    phases = cluster.clock.now
+    outage_at = cluster.clock.now
     if notified:
         wait(cluster, 3.0)
-        assert not running_tasks(cluster), "stopped because the other controller notified the leader"
+        assert not running(cluster), "stopped because the other controller notified the leader"
     wait(cluster, cluster.cancel_s + 5.0)  # the simulated cluster checks the bound
-    assert cluster.clock.now - phases > cluster.cancel_s
-    assert not running_tasks(cluster)
+    assert cluster.clock.now - outage_at > cluster.cancel_s
+    assert not running(cluster)
     assert cluster.leader() == name, "no failover: the store was down for all"
     cluster.state.refuses.clear()
     cluster.state.down = False
@@ -81,7 +78,7 @@
     assert not leader.watch_cache.is_cancelled("req-000001")
     cluster.state.down = True
     wait(cluster, cluster.cancel_s, fleet=False)
-    assert not [p for p in running_tasks(cluster) if p.startswith("req-000001/")]
+    assert not [p for p in running(cluster) if p.startswith("req-000001/")]
 
 
 @pytest.mark.parametrize("mixed", [False, True])
@@ -147,14 +144,14 @@
     wait(cluster, 6.0, fleet=False)
     relay = worker.at
     assert relay != name
-    assert running_tasks(cluster)
+    assert running(cluster)
     confirming = next(n for n in cluster.nodes if n not in (name, relay))
     cluster.state.refuses.add(relay)
     assert cluster.cancel(confirming, "req-000001") == "aborted"
     cluster.state.down = True
     cluster.nodes[relay].on_cancellations({"req-000001": cluster.clock.wall()})
     cluster.heartbeat(worker, relay)
-    assert not running_tasks(cluster)
+    assert not running(cluster)
 
 
 def test_an_unverified_leader_sends_direct_stops_of_cancelled_jobs() -> None:
@@ -170,7 +167,7 @@
     assert not leader.is_verified_leader()
     assert cluster.nodes[other].notices.send()
     cluster.step_node(name)
-    assert not running_tasks(cluster), "stopped by a direct command"
+    assert not running(cluster), "stopped by a direct command"
 
 
 def test_a_cancellation_notice_is_repeated_until_the_leader_acknowledges_it_or_it_is_too_late() -> None:
@@ -192,7 +189,7 @@
 
 
 def test_cancellation_notices_over_the_mesh_are_validated() -> None:
-    cluster = idle_cluster(nodes=2)
+    cluster = quiet(nodes=2)
     name, leader, _ = leader_and_other(cluster)
     cluster.submit(name, cluster.job(1))
     wait(cluster, 2.0, fleet=False)
@@ -207,7 +204,7 @@
 
 
 def test_a_job_cancelled_before_the_leader_has_read_it_never_starts() -> None:
-    cluster = idle_cluster(nodes=3)
+    cluster = quiet(nodes=3)
     name, leader, other = leader_and_other(cluster)
     cluster.state.blind.add(name)
     assert cluster.submit(other, cluster.job(1)) == 201
@@ -215,25 +212,25 @@
     assert cluster.nodes[other].notices.send()
     cluster.state.blind.clear()
     wait(cluster, 5.0, fleet=False)
-    assert not running_tasks(cluster)
+    assert not running(cluster)
     assert "req-000001" not in leader.scheduler.state.jobs
 
 
 def test_a_start_command_follows_a_read_that_shows_the_cancellations_of_other_controllers() -> None:
     """The check before a start was a comparison of the leadership record alone, which a cancellation
     confirmed by another controller in between does not change: the task was started all the same."""
-    cluster = idle_cluster(machines=1, nodes=3)
+    cluster = quiet(machines=1, nodes=3)
     name, leader, other = leader_and_other(cluster)
-    leader_with_uncommitted_placements(cluster, name)
+    decided(cluster, name)
     leader.commit_once()
     assert leader.scheduler.state.jobs["req-000001"].open
     assert cluster.cancel(other, "req-000001") == "aborted"
     cluster.heartbeat(next(iter(cluster.workers.values())), name)
-    assert not running_tasks(cluster)
+    assert not running(cluster)
 
 
 def test_cancellations_with_more_work_than_capacity_over_slow_links() -> None:
-    cluster = idle_cluster(machines=3, nodes=3)
+    cluster = quiet(machines=3, nodes=3)
     cluster.slow_s = 1.5
     cluster.capacity = 0
     for number in range(1, 13):
@@ -244,10 +241,10 @@
         wait(cluster, 2.0)
         if number % 2:
             cluster.cancel(f"n{number % 3}", f"req-{number:06d}")
-        for task_id in running_tasks(cluster)[:2]:
+        for task_id in running(cluster)[:2]:
             cluster.finish(task_id)
     waiting = sum(len(job.waiting) for job in leader_of(cluster).scheduler.state.jobs.values())
-    assert waiting > 4 and len(running_tasks(cluster)) >= 8, "more work than capacity"
+    assert waiting > 4 and len(running(cluster)) >= 8, "more work than capacity"
     cluster.submit("n1", cluster.job(20, parts=1, rank="critical"))
     for _ in range(40):
         wait(cluster, 0.5)
@@ -269,7 +266,7 @@
     assert cluster.submit("n0", cluster.job(2, parts=8, guess_s=500.0)) == 201
     wait(cluster, 30.0)
     assert mute_worker.name in cluster.deleted
-    assert len(running_tasks(cluster)) == 8
+    assert len(running(cluster)) == 8
     recover_and_check(cluster)
 
 
@@ -289,14 +286,14 @@
         for node in cluster.nodes:
             assert cluster.query(node, "req-000002") is None
             assert cluster.query(node, "req-000001") in (None, "aborted")
-    assert not running_tasks(cluster), (
+    assert not running(cluster), (
         "no read is recent enough: all leases have expired, and cancelled tasks are stopped"
     )
     recover_and_check(cluster)
 
 
 def test_four_one_task_jobs_a_second_for_minutes_with_a_quarter_cancelled() -> None:
-    cluster = idle_cluster(machines=4, nodes=3, writes=20.0)
+    cluster = quiet(machines=4, nodes=3, writes=20.0)
     submitted, cancelled = 0, 0
     for _ in range(240):
         for _ in range(2):
@@ -309,7 +306,7 @@
             if number % 4 == 0:
                 cancelled += cluster.cancel(f"n{(number + 1) % 3}", f"req-{number - 3:06d}") == "aborted"
         wait(cluster, 0.5)
-        for task_id in running_tasks(cluster):
+        for task_id in running(cluster):
             if cluster.rng.random() < 0.4:
                 cluster.finish(task_id)
     assert submitted == 480
@@ -373,7 +370,7 @@
     assert cluster.cancel(new, "req-000001") == "aborted"
     assert old_leader.query("req-000001")[0] == 503
     wait(cluster, cluster.cancel_s)
-    assert not running_tasks(cluster)
+    assert not running(cluster)
     recover_and_check(cluster)
 
 
@@ -386,7 +383,7 @@
     cluster.submit(other, cluster.job(2, parts=3, crew="blue", guess_s=500.0))
     cluster.submit(other, cluster.job(3, parts=2, crew="blue", guess_s=500.0))
     wait(cluster, 2.0, fleet=False)
-    assert len(running_tasks(cluster)) == 8
+    assert len(running(cluster)) == 8
     kill_controller(cluster, old)
     cluster.pass_time(4.0)
     third = next(n for n in cluster.nodes if n != other)
@@ -407,7 +404,7 @@
     assert node.scheduler.leader
     assert cluster.cancel(third, "req-000003") == "aborted"
     wait(cluster, 6.0, fleet=False)
-    assert not running_tasks(cluster)
+    assert not running(cluster)
     recover_and_check(cluster)
 
 
@@ -415,13 +412,13 @@
 def test_cancellations_on_unreachable_machines_with_every_team_at_its_quota_and_a_failover(
     fault: str,
 ) -> None:
-    cluster = idle_cluster(machines=6, nodes=3)
+    cluster = quiet(machines=6, nodes=3)
     cluster.submit("n0", cluster.job(1, parts=8, guess_s=500.0))
     cluster.submit("n0", cluster.job(2, parts=16, crew="blue", guess_s=500.0))
     cluster.submit("n0", cluster.job(3, parts=8, guess_s=500.0))
     cluster.submit("n0", cluster.job(4, parts=16, crew="blue", guess_s=500.0))
     wait(cluster, 5.0, fleet=False)
-    assert len(running_tasks(cluster)) == 24, "both teams are at their limits, and more tasks wait"
+    assert len(running(cluster)) == 24, "both teams are at their limits, and more tasks wait"
     stranded = [worker for worker in cluster.workers.values() if worker.running()][:2]
     for worker in stranded:
         if fault == "cut":
@@ -435,15 +432,15 @@
     assert left > 0
     wait(cluster, 14.0)  # quotas are checked
     wait(cluster, cluster.cancel_s)
-    assert not [p for p in running_tasks(cluster) if p[:10] in ("req-000001", "req-000002")]
-    assert len(running_tasks(cluster)) == 24, "the waiting tasks run in their place"
+    assert not [p for p in running(cluster) if p[:10] in ("req-000001", "req-000002")]
+    assert len(running(cluster)) == 24, "the waiting tasks run in their place"
     recover_and_check(cluster)
 
 
 def test_a_read_does_not_count_before_the_scheduler_has_reconciled_what_it_found() -> None:
     """One thread has read a cancellation and is about to reconcile it with the scheduler; the read of a
     second thread finds it in the cache already, and must not count before the first thread has finished."""
-    cluster = idle_cluster(machines=1, nodes=2)
+    cluster = quiet(machines=1, nodes=2)
     name, leader, other = leader_and_other(cluster)
     cluster.submit(name, cluster.job(1))
     leader.watch_cache.pull(0.0)
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -8,17 +8,15 @@
 import pytest
 from cluster_helpers import (
     cluster_running_a_job,
-    idle_cluster,
     kill_controller,
     leader_and_other,
     leader_name,
     leader_of,
     recover_and_check,
-    running_tasks,
     two_zone_cluster,
-    wait,
     worker_with_running_tasks,
 )
+from test_stories import quiet, running, wait
 from world import World
 
 from bayford.protocol import workers
@@ -44,7 +42,7 @@
         wait(cluster, 1.0, fleet=False)
         cluster.look(1, parts=4, guess_s=500.0)
         cluster.look(2, parts=1, crew="blue")
-    for task_id in running_tasks(cluster):
+    for task_id in running(cluster):
         cluster.finish(task_id)
     for _ in range(6):
         wait(cluster, 1.0, fleet=False)
@@ -65,21 +63,21 @@
     cluster = cluster_running_a_job(machines=2)
     old = leader_name(cluster)
     delayed_heartbeats = [worker.heartbeat() for worker in cluster.workers.values()]  # all four tasks run
-    for task_id in running_tasks(cluster)[:2]:
+    for task_id in running(cluster)[:2]:
         cluster.finish(task_id)
     cluster.cancel(old, "req-000001")
     kill_controller(cluster, old)
     wait(cluster, 8.0, fleet=False)
     new = leader_name(cluster)
     assert new != old
-    assert not running_tasks(cluster)
+    assert not running(cluster)
     cluster.submit(new, cluster.job(2, parts=8))
     wait(cluster, 2.0, fleet=False)
-    before = running_tasks(cluster)
+    before = running(cluster)
     for heartbeat in delayed_heartbeats:
         cluster.replay(heartbeat, new)
     wait(cluster, 4.0, fleet=False)
-    assert running_tasks(cluster) == before
+    assert running(cluster) == before
     assert len(before) == 8
     recover_and_check(cluster)
 
@@ -108,12 +106,12 @@
         wait(cluster, 0.5, fleet=False)
         for heartbeat in idle_heartbeats:
             cluster.replay(heartbeat, new)
-    assert len(running_tasks(cluster)) == 8
+    assert len(running(cluster)) == 8
     recover_and_check(cluster)
 
 
 def test_jobs_whose_tasks_end_before_and_after_a_failover() -> None:
-    cluster = idle_cluster(machines=3, nodes=3)
+    cluster = quiet(machines=3, nodes=3)
     for number in (1, 2, 3):
         cluster.submit("n0", cluster.job(number, parts=number, crew="blue"))
     wait(cluster, 3.0, fleet=False)
@@ -142,12 +140,12 @@
     cluster.submit("n0", cluster.job(2, parts=6, crew="blue", together=True, guess_s=500.0))
     cluster.submit("n0", cluster.job(3, parts=4, crew="blue", apart=True, guess_s=500.0))
     wait(cluster, 4.0, fleet=False)
-    assert len(running_tasks(cluster)) == 14
+    assert len(running(cluster)) == 14
     for name in [n for n, worker in cluster.workers.items() if worker.zone == "south"]:
         del cluster.workers[name]
     kill_controller(cluster, leader_name(cluster))
     wait(cluster, 90.0)  # wrong_place is checked at each start
-    assert len(running_tasks(cluster)) == 14
+    assert len(running(cluster)) == 14
     recover_and_check(cluster)
 
 
@@ -164,7 +162,7 @@
     wait(cluster, 6.0, fleet=False)
     assert list(cluster.nodes) == ["n1"]
     assert cluster.leader() == "n1"
-    assert len(running_tasks(cluster)) == 8, "within a lease all tasks continue"
+    assert len(running(cluster)) == 8, "within a lease all tasks continue"
     recover_and_check(cluster)
 
 
@@ -224,7 +222,7 @@
     kill_controller(cluster, leader_name(cluster))
     wait(cluster, 60.0)  # ran_twice is checked at each start
     assert stranded.name in cluster.deleted
-    assert set(parts) <= set(running_tasks(cluster)), "its tasks run elsewhere"
+    assert set(parts) <= set(running(cluster)), "its tasks run elsewhere"
     recover_and_check(cluster)
 
 
@@ -238,18 +236,18 @@
     assert len(cluster.workers) > 1, "launched, and up at once"
     for _ in range(4):
         wait(cluster, 0.5)
-    assert cluster.state.due and not [p for p in running_tasks(cluster) if p.startswith("req-000002")], (
+    assert cluster.state.due and not [p for p in running(cluster) if p.startswith("req-000002")], (
         "not durable, so not started"
     )
     kill_controller(cluster, name)
     wait(cluster, 12.0)
     assert leader_name(cluster) != name
-    assert len([p for p in running_tasks(cluster) if p.startswith("req-000002")]) == 12
+    assert len([p for p in running(cluster) if p.startswith("req-000002")]) == 12
     recover_and_check(cluster)
 
 
 def test_all_controllers_agree_immediately_after_each_answer() -> None:
-    cluster = idle_cluster(machines=2, nodes=3)
+    cluster = quiet(machines=2, nodes=3)
     for number in range(1, 7):
         node = f"n{number % 3}"
         cluster.submit(node, cluster.job(number, parts=1))
@@ -275,7 +273,7 @@
     worker.answered = 0.0  # its lease has expired
     wait(cluster, 3.0)
     assert worker.epoch == 2
-    assert len(running_tasks(cluster)) == 4
+    assert len(running(cluster)) == 4
     attempts = sorted(a.number for worker in cluster.workers.values() for a in worker.tasks.values())
     assert max(attempts) > 4, "started again as later attempts"
     for heartbeat in early_heartbeats:
@@ -305,7 +303,7 @@
     body = cluster.command(name, f"{worker.name}:9", late_command)  # executed only now
     assert body is not None
     wait(cluster, 2.0, fleet=False)
-    assert len(running_tasks(cluster)) == 1, "it names an attempt that has ended, and stops nothing else"
+    assert len(running(cluster)) == 1, "it names an attempt that has ended, and stops nothing else"
     recover_and_check(cluster)
 
 
@@ -314,7 +312,7 @@
     cluster.submit("n0", cluster.job(1, parts=8, crew="blue", guess_s=500.0))
     cluster.submit("n0", cluster.job(2, parts=4, guess_s=500.0))
     wait(cluster, 4.0, fleet=False)
-    assert len(running_tasks(cluster)) == 12
+    assert len(running(cluster)) == 12
     south = [worker for worker in cluster.workers.values() if worker.zone == "south"]
     north = [worker for worker in cluster.workers.values() if worker.zone == "north"]
     for worker in south:
@@ -326,8 +324,8 @@
     cluster.cancel("n2", "req-000002")
     wait(cluster, cluster.lease_s + 10.0)
     wait(cluster, 40.0)
-    assert not [p for p in running_tasks(cluster) if p.startswith("req-000002")]
-    assert len(running_tasks(cluster)) == 8
+    assert not [p for p in running(cluster) if p.startswith("req-000002")]
+    assert len(running(cluster)) == 8
     recover_and_check(cluster)
 
 
@@ -342,11 +340,11 @@
         cluster.pass_time(1.0)
         for worker in cluster.workers.values():
             worker.check_lease()
-    assert not running_tasks(cluster), "all leases have expired"
+    assert not running(cluster), "all leases have expired"
     for name in cluster.names:
         cluster.boot(name)
     wait(cluster, 10.0)
-    assert len(running_tasks(cluster)) == 8
+    assert len(running(cluster)) == 8
     assert cluster.deleted == []
     recover_and_check(cluster)
 
--- a/tests/test_launch_planning.py
+++ b/tests/test_launch_planning.py
@@ -17,10 +17,10 @@
         demand: scaling.Demand,
         refused: Sequence[scaling.MachinePool] = (),
         spare: dict[scaling.MachinePool, int] | None = None,
-        yielded: float = 0.0,
+        preemptible: float = 0.0,
         busy: float = 50.0,
     ) -> list[tuple[scaling.MachinePool, int]]:
-        demand = dataclasses.replace(demand, yielded=yielded)
+        demand = dataclasses.replace(demand, yielded=preemptible)
         plans = scaling.plan_launches([demand], types, spare or {}, frozenset(refused), busy, 1e9, 2.0)
         return [(plan.pool, plan.count) for plan in plans]
 
@@ -37,4 +37,4 @@
     assert plan_for(late, refused=[spot]) == [(on_demand, 1)], "only as many as are worth it"
     urgent = scaling.Demand(demand.pools, 8, 1.0, 0.0, 1.0, 20.0, True, 0, 640.0, 640.0)
     assert plan_for(urgent, refused=[spot]) == [(on_demand, 2)]
-    assert plan_for(urgent, refused=[spot], yielded=8.0) == [], "it may preempt work of lower priority"
+    assert plan_for(urgent, refused=[spot], preemptible=8.0) == [], "it may preempt work of lower priority"
--- a/tests/test_leadership_transfer.py
+++ b/tests/test_leadership_transfer.py
@@ -2,7 +2,7 @@
 
 import orjson
 import pytest
-from cluster_helpers import idle_cluster, running_tasks, wait
+from test_stories import quiet, running, wait
 from world import Worker, World
 
 from bayford.clock import NEVER
@@ -22,10 +22,10 @@
 
 def busy_cluster(parts: int = 12, machines: int = 3) -> tuple[World, str]:
     """Three controllers, machines that are full as a rule, and a leader in charge for longer than a lease."""
-    cluster = idle_cluster(machines=machines, nodes=3)
+    cluster = quiet(machines=machines, nodes=3)
     cluster.submit("n0", cluster.job(1, crew="open", parts=parts, guess_s=500.0))
     wait(cluster, LEASE_S + 4.0, fleet=False)
-    assert len(running_tasks(cluster)) == parts
+    assert len(running(cluster)) == parts
     leader = cluster.leader()
     assert leader is not None
     return cluster, leader
@@ -37,7 +37,7 @@
 
 def test_a_leader_without_workers_transfers_leadership_and_no_task_stops() -> None:
     cluster, leader = busy_cluster()
-    before = running_tasks(cluster)
+    before = running(cluster)
     first = fencing_token(cluster)
     cut_off(cluster, leader)
     wait(cluster, 30.0)
@@ -45,12 +45,12 @@
     assert new_leader not in (None, leader), "without a transfer it kept its lease and used relays"
     assert fencing_token(cluster) == first + 1
     assert not cluster.nodes[leader].scheduler.leader
-    assert running_tasks(cluster) == before
+    assert running(cluster) == before
     assert cluster.deleted == []
     assert {worker.at for worker in cluster.workers.values()} == {new_leader}
     assert cluster.cancel(leader, "req-000001") == "aborted"
     wait(cluster, 6.0)
-    assert running_tasks(cluster) == []
+    assert running(cluster) == []
 
 
 def test_cancelled_starts_on_relayed_machines_delete_no_machine() -> None:
@@ -64,12 +64,12 @@
     assert cluster.cancel(leader, "req-000002") == "aborted"
     wait(cluster, cluster.cancel_s + 5.0)
     assert cluster.deleted == []
-    assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
+    assert running(cluster) == ["req-000001/0", "req-000001/1"]
 
 
 def test_leadership_moves_at_most_once_a_lease_where_leaders_lose_their_workers_in_turn() -> None:
     cluster, leader = busy_cluster()
-    before = running_tasks(cluster)
+    before = running(cluster)
     first = fencing_token(cluster)
     period_s = 90.0
     for second in range(int(period_s)):
@@ -81,7 +81,7 @@
     assert 1 <= changes <= 1 + period_s / LEASE_S
     cluster.cut.clear()
     wait(cluster, 20.0, fleet=False)
-    assert set(running_tasks(cluster)) >= set(before)
+    assert set(running(cluster)) >= set(before)
 
 
 def test_no_transfer_between_two_controllers_without_workers() -> None:
@@ -93,7 +93,7 @@
     wait(cluster, 60.0)
     assert fencing_token(cluster) == first + 1
     assert cluster.leader() not in (leader, also_cut)
-    assert len(running_tasks(cluster)) == 12
+    assert len(running(cluster)) == 12
 
 
 def test_late_answers_and_writes_of_the_previous_leader_have_no_effect() -> None:
@@ -126,14 +126,14 @@
     healed_after_s: float, changes: set[int]
 ) -> None:
     cluster, leader = busy_cluster()
-    before = running_tasks(cluster)
+    before = running(cluster)
     first = fencing_token(cluster)
     cut_off(cluster, leader)
     wait(cluster, healed_after_s)
     cluster.cut.clear()
     wait(cluster, 40.0)
     assert fencing_token(cluster) - first in changes, "one leader or the other, without alternating"
-    assert running_tasks(cluster) == before
+    assert running(cluster) == before
     assert cluster.deleted == []
 
 
@@ -149,7 +149,7 @@
     wait(cluster, 20.0)
     assert fencing_token(cluster) == first + 1
     assert not cluster.nodes[leader].scheduler.leader
-    assert len(running_tasks(cluster)) == 12
+    assert len(running(cluster)) == 12
 
 
 def test_no_transfer_where_each_controller_is_cut_off_from_some_workers() -> None:
@@ -161,7 +161,7 @@
     wait(cluster, 90.0)
     assert fencing_token(cluster) == first
     assert cluster.leader() == leader
-    assert len(running_tasks(cluster)) == 24
+    assert len(running(cluster)) == 24
     assert cluster.deleted == []
 
 
@@ -172,7 +172,7 @@
     first = fencing_token(cluster)
     wait(cluster, 40.0)
     assert fencing_token(cluster) == first
-    assert len(running_tasks(cluster)) == 12
+    assert len(running(cluster)) == 12
 
 
 @pytest.mark.parametrize(
--- a/tests/test_random_concurrent_faults.py
+++ b/tests/test_random_concurrent_faults.py
@@ -3,13 +3,8 @@
 from typing import Any
 
 import pytest
-from cluster_helpers import (
-    clear_faults,
-    kill_controller,
-    recover_and_check,
-    running_tasks,
-    wait,
-)
+from cluster_helpers import clear_faults, kill_controller, recover_and_check
+from test_stories import running, wait
 from world import World
 
 from bayford.scheduling.policy import Policy
@@ -144,7 +139,7 @@
             if known and rng.random() < 0.4:
                 asked = int(rng.choice(known)[4:])
                 cluster.look(asked, **fields[asked])
-            for task_id in running_tasks(cluster):
+            for task_id in running(cluster):
                 if rng.random() < 0.05:
                     cluster.finish(task_id)
             wait(cluster, rng.choice([0.5, 1.0, 2.0]))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -271,36 +271,21 @@
     assert thirds == {0, 1, 2}, "tasks of every third of the fleet are preempted"
 
 
-def test_more_workers_than_connections_are_all_answered_in_turn() -> None:
-    """Workers kept their connections: the last ones were refused until a lease expired."""
-    max_connections, clients = 8, 40
-    cluster = World()
-    cluster.step()
-    handler = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
-    server = HttpServer("127.0.0.1", 0, handler.handle, max_connections, "front")
-    server.start()
-    connections: dict[int, socket.socket] = {}
+class KeepAliveWorkers:
+    """Workers that send heartbeats to a server and keep their connections where they may."""
 
-    def body(number: int, sequence: int) -> bytes:
-        return orjson.dumps(
-            {
-                "dock": f"vm-{number:06d}",
-                "addr": "10.1.0.1:9000",
-                "build": "small",
-                "yard": "north",
-                "loaners": True,
-                "shift": 1,
-                "tick": sequence,
-                "baton": 0,
-                "recall_s": None,
-                "parts": [],
-            }
-        )
+    def __init__(self, port: int) -> None:
+        self.port = port
+        self.connections: dict[int, socket.socket] = {}
+
+    def close(self) -> None:
+        for sock in self.connections.values():
+            sock.close()
 
-    def heartbeat(number: int, sequence: int) -> bool:
+    def heartbeat(self, number: int, sequence: int) -> bool:
         """Whether the heartbeat of this worker is answered."""
-        sock = connections.get(number) or socket.create_connection(("127.0.0.1", server.port), timeout=5)
-        data = body(number, sequence)
+        sock = self.connections.get(number) or socket.create_connection(("127.0.0.1", self.port), timeout=5)
+        data = self._body(number, sequence)
         head = f"POST {workers.HEARTBEAT_PATH} HTTP/1.1\r\nContent-Length: {len(data)}\r\n\r\n"
         try:
             sock.sendall(head.encode() + data)
@@ -309,24 +294,50 @@
             answer = b""
         if b"Connection: close" in answer or not answer:
             sock.close()
-            connections.pop(number, None)
+            self.connections.pop(number, None)
         else:
-            connections[number] = sock
+            self.connections[number] = sock
         return answer.startswith(b"HTTP/1.1 200")
 
-    def answered_soon(number: int, sequence: int) -> bool:
+    def answered_soon(self, number: int, sequence: int) -> bool:
         """Whether it is answered within some tries, as workers retry: a closed connection counts until its
         thread has ended. Not for so long that the server would close idle connections of others."""
         for _ in range(TRIES):
-            if heartbeat(number, sequence):
+            if self.heartbeat(number, sequence):
                 return True
             time.sleep(RETRY_S)
         return False
 
+    @staticmethod
+    def _body(number: int, sequence: int) -> bytes:
+        return orjson.dumps(
+            {
+                "dock": f"vm-{number:06d}",
+                "addr": "10.1.0.1:9000",
+                "build": "small",
+                "yard": "north",
+                "loaners": True,
+                "shift": 1,
+                "tick": sequence,
+                "baton": 0,
+                "recall_s": None,
+                "parts": [],
+            }
+        )
+
+
+def test_more_workers_than_connections_are_all_answered_in_turn() -> None:
+    """Workers kept their connections: the last ones were refused until a lease expired."""
+    max_connections, clients = 8, 40
+    cluster = World()
+    cluster.step()
+    handler = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
+    server = HttpServer("127.0.0.1", 0, handler.handle, max_connections, "front")
+    server.start()
+    fleet = KeepAliveWorkers(server.port)
     for sequence in range(1, 4):
-        assert all(answered_soon(number, sequence) for number in range(clients)), (
+        assert all(fleet.answered_soon(number, sequence) for number in range(clients)), (
             "each is answered in each turn"
         )
-    assert 0 < len(connections) < max_connections, "as many as allowed keep theirs"
-    for sock in connections.values():
-        sock.close()
+    assert 0 < len(fleet.connections) < max_connections, "as many as allowed keep theirs"
+    fleet.close()
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 import pytest
-from cluster_helpers import idle_cluster, running_tasks, wait
 from hypothesis import given
 from hypothesis import strategies as st
 from test_capacity_index import CPUS, indexed, jobs, machines, make_job
+from test_stories import quiet, running, wait
 from world import LIMITS, World
 
 from bayford.scheduling import placement_rules, tempered
@@ -267,7 +267,7 @@
 
 def unbalanced_cluster(tasks: int = 4, nodes: int = 1, **job: Any) -> World:
     """Four machines, one of which runs all tasks of job 1, and a leader that spreads load."""
-    cluster = idle_cluster(machines=4, nodes=nodes, policy=PACKED)
+    cluster = quiet(machines=4, nodes=nodes, policy=PACKED)
     fields = {"crew": "open", "parts": tasks, "bookmark_s": 5.0, "stash_s": 1.0, "guess_s": 900.0} | job
     cluster.submit("n0", cluster.job(1, **fields))
     wait(cluster, 4.0, fleet=False)
@@ -292,7 +292,7 @@
     cluster = unbalanced_cluster()
     wait(cluster, 120.0, fleet=False)
     assert task_counts(cluster)[-1] <= 2, "at most twice the average"
-    assert len(running_tasks(cluster)) == 4
+    assert len(running(cluster)) == 4
     assert max(restarts(cluster).values()) == 1
     assert sum(restarts(cluster).values()) <= 3
     stored = cluster.state.rows[records.migration_counts_key("req-000001")][0]
@@ -361,6 +361,22 @@
     pytest.fail("no migration was decided")
 
 
+def overtake(cluster: World, event: str, placement: Placement, target: int) -> None:
+    """Let an event happen to a task while it migrates to `target`."""
+    node = cluster.nodes["n0"]
+    if event == "done":
+        cluster.finish(placement.task_id)
+        for worker in cluster.workers.values():
+            cluster.heartbeat(worker, "n0")
+    elif event == "cancelled":
+        assert cluster.cancel("n0", "req-000001") == "aborted"
+    elif event == "target":
+        cluster.execute_delete([node.scheduler.state.machine_names[target]])
+        node.scheduler.deleted([node.scheduler.state.machine_names[target]])
+    else:
+        cluster.boot("n0")
+
+
 @pytest.mark.parametrize("counted", [False, True])
 @pytest.mark.parametrize("event", ["done", "cancelled", "target", "leader"])
 def test_a_migration_that_is_overtaken_by_an_event(event: str, counted: bool) -> None:
@@ -374,17 +390,7 @@
         node.commit_once()
         assert placement.stopping
         assert node.scheduler.state.moves >= 1
-    if event == "done":
-        cluster.finish(placement.task_id)
-        for worker in cluster.workers.values():
-            cluster.heartbeat(worker, "n0")
-    elif event == "cancelled":
-        assert cluster.cancel("n0", "req-000001") == "aborted"
-    elif event == "target":
-        cluster.execute_delete([node.scheduler.state.machine_names[target]])
-        node.scheduler.deleted([node.scheduler.state.machine_names[target]])
-    else:
-        cluster.boot("n0")
+    overtake(cluster, event, placement, target)
     if event != "leader" and not counted:
         before = node.scheduler.state.moves, set(node.scheduler.state.stopping)
         node.watch_cache.pull(0.0)
@@ -397,11 +403,11 @@
     wait(cluster, 60.0)
     assert not cluster.nodes["n0"].scheduler.state.stopping
     if event == "cancelled":
-        assert running_tasks(cluster) == []
+        assert running(cluster) == []
         return
     remaining = {f"req-000001/{n}" for n in range(4)} - cluster.done_tasks
-    assert set(running_tasks(cluster)) == remaining
-    assert len(running_tasks(cluster)) == len(remaining)
+    assert set(running(cluster)) == remaining
+    assert len(running(cluster)) == len(remaining)
     assert restarts(cluster)[placement.task_id] <= 1
     if event == "done":
         for task_id in remaining:
@@ -439,11 +445,11 @@
 
 
 def test_no_team_limit_is_exceeded_with_load_spread() -> None:
-    cluster = idle_cluster(machines=6, policy=SPREAD)
+    cluster = quiet(machines=6, policy=SPREAD)
     for number in range(4):
         cluster.submit("n0", cluster.job(number, parts=6))
     wait(cluster, 10.0, fleet=False)
-    assert len(running_tasks(cluster)) == LIMITS["red"]
+    assert len(running(cluster)) == LIMITS["red"]
 
 
 def test_restart_counts_of_ended_jobs_are_deleted() -> None:
@@ -480,7 +486,7 @@
 
 def test_a_placement_hint_has_priority_over_machines_with_the_image() -> None:
     """The search of machines with the image dropped the hint: the task was placed where it had been."""
-    cluster = idle_cluster(machines=4, policy=PACKED)
+    cluster = quiet(machines=4, policy=PACKED)
     scheduler = cluster.nodes["n0"].scheduler
     cluster.submit("n0", cluster.job(1, crew="open", parts=1))
     cluster.nodes["n0"].watch_cache.pull(0.0)
--- a/tests/test_task_log.py
+++ b/tests/test_task_log.py
@@ -33,29 +33,7 @@
         )
         changed: dict[str, list[int]] = {}
         for _ in range(rng.randint(1, 12)):
-            job, task = f"req-{rng.randrange(jobs)}", rng.randrange(tasks)
-            machine = f"vm-{rng.randrange(99):06d}"
-            if job in self.over or not builder.has_space(job, machine):
-                continue
-            expected_tasks = self.truth.setdefault(job, {})
-            if any(task in listed_tasks.get(job, ()) for listed_tasks in (builder.value.d, builder.value.c)):
-                continue
-            if job in builder.value.o and task in builder.value.o[job][::3]:
-                continue
-            if expected_tasks.get(task) == "done":
-                continue  # a completion is final
-            changed.setdefault(job, []).append(task)
-            draw = rng.random()
-            if draw < 0.5:
-                self.attempt += 1
-                builder.add_open(job, task, self.attempt, machine, 1)
-                expected_tasks[task] = (self.attempt, machine, 1)
-            elif draw < 0.9:
-                builder.add_done(job, task)
-                expected_tasks[task] = "done"
-            else:
-                builder.add_closed(job, task)
-                expected_tasks.pop(task, None)
+            self._add_random_change(builder, changed, jobs, tasks)
         if self.truth and rng.random() < 0.02:
             job = rng.choice(sorted(self.truth))
             if builder.has_space(job):
@@ -71,6 +49,35 @@
         self.stored[slot] = (self.version, value)
         return slot, self.version, value
 
+    def _add_random_change(
+        self, builder: RowBuilder, changed: dict[str, list[int]], jobs: int, tasks: int
+    ) -> None:
+        """Add a placement, a completion or the end of a placement, if the row can hold it."""
+        rng = self.rng
+        job, task = f"req-{rng.randrange(jobs)}", rng.randrange(tasks)
+        machine = f"vm-{rng.randrange(99):06d}"
+        if job in self.over or not builder.has_space(job, machine):
+            return
+        expected_tasks = self.truth.setdefault(job, {})
+        if any(task in listed_tasks.get(job, ()) for listed_tasks in (builder.value.d, builder.value.c)):
+            return
+        if job in builder.value.o and task in builder.value.o[job][::3]:
+            return
+        if expected_tasks.get(task) == "done":
+            return  # a completion is final
+        changed.setdefault(job, []).append(task)
+        draw = rng.random()
+        if draw < 0.5:
+            self.attempt += 1
+            builder.add_open(job, task, self.attempt, machine, 1)
+            expected_tasks[task] = (self.attempt, machine, 1)
+        elif draw < 0.9:
+            builder.add_done(job, task)
+            expected_tasks[task] = "done"
+        else:
+            builder.add_closed(job, task)
+            expected_tasks.pop(task, None)
+
     def state(self, task_log: TaskLog) -> dict[str, dict[int, object]]:
         """The tasks of each job as a task log has them, in the form of `truth`."""
         return {
--- a/tests/test_zone_records.py
+++ b/tests/test_zone_records.py
@@ -4,9 +4,10 @@
 from pathlib import Path
 
 import pytest
-from cluster_helpers import VALID_SETTINGS, leader_name, wait
+from cluster_helpers import VALID_SETTINGS, leader_name
 from hypothesis import given
 from hypothesis import strategies as st
+from test_stories import wait
 from world import World
 from zone_helpers import (
     RECOVERY_POLICY,
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -1,7 +1,8 @@
 """Loss and return of a zone in the simulated cluster."""
 
 import pytest
-from cluster_helpers import leader_name, leader_of, running_tasks, wait
+from cluster_helpers import leader_name, leader_of
+from test_stories import running, wait
 from world import World
 from zone_helpers import (
     RECOVERY_POLICY,
@@ -43,7 +44,7 @@
     loss = stored_zone_record(cluster).losses[-1]
     assert loss.returned > loss.lost > loss.suspected
     assert loss.totals() == {"open": 0, "finished": 0, "cancelled": 0, "over": 0, "again": len(lost_tasks)}
-    assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
+    assert len(set(running(cluster))) == len(running(cluster))
 
 
 def test_a_suspect_zone_gets_no_work_and_a_returning_one_only_on_verified_machines(cluster: World) -> None:
@@ -85,10 +86,7 @@
         for machine in scheduler.state.machines.values()
         if machine.zone not in scheduler.state.returning_zones
     ]
-    present = [
-        (scaling.MachinePool(machine.type, machine.zone, machine.spot), machine)
-        for machine in machines_elsewhere
-    ]
+    present = [(scaling.MachinePool(m.type, m.zone, m.spot), m) for m in machines_elsewhere]
     south, north = (scaling.MachinePool(0, zone_index(scheduler, name), True) for name in ("south", "north"))
     plans = [scaling.LaunchPlan(south, 20, "backlog"), scaling.LaunchPlan(north, 20, "backlog")]
     assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [
@@ -109,10 +107,13 @@
     present += [(south, scheduler.state.machines[index]) for index in scheduler.state.verified_machines]
     assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [20, 20]
 
-    scheduler.state.verified_machines = frozenset()
-    scheduler.state.launching.clear()
+
+def test_the_autoscaler_launches_only_a_few_machines_into_a_returning_zone(cluster: World) -> None:
+    scheduler = leader_of(cluster).scheduler
+    south = zone_index(scheduler, "south")
+    scheduler.state.returning_zones = frozenset({south})
     scheduler.deleted(
-        [machine.name for machine in scheduler.state.machines.values() if machine.zone == south.zone]
+        [machine.name for machine in scheduler.state.machines.values() if machine.zone == south]
     )
     cluster.submit("n0", cluster.job(1, crew="open", parts=80, guess_s=900.0, yard="south"))
     leader_of(cluster).watch_cache.pull(0.0)
@@ -130,7 +131,7 @@
     wait(cluster, 30.0)  # the machines' epochs have ended, the silent ones are deleted
     reconnect_zones(cluster)
     wait(cluster, 60.0)
-    assert running_tasks(cluster) == []
+    assert running(cluster) == []
     assert stored_zone_record(cluster).losses[-1].totals()["cancelled"] == len(lost_tasks)
 
 
@@ -165,7 +166,7 @@
     job = leader.state.jobs["req-000001"]
     task = int(task_id.split("/")[1])
     assert task not in job.open or task not in job.done
-    assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
+    assert len(set(running(cluster))) == len(running(cluster))
 
 
 def test_late_copies_of_heartbeats_after_the_return_change_nothing(cluster: World) -> None:
@@ -175,13 +176,13 @@
     wait(cluster, 22.0)
     reconnect_zones(cluster)
     wait(cluster, 6.0)
-    before = running_tasks(cluster), zone_state(cluster)
+    before = running(cluster), zone_state(cluster)
     for copy in copies:
         cluster.replay(copy, leader_name(cluster))
     scheduler = leader_of(cluster).scheduler
     scheduler.round()
-    assert (running_tasks(cluster), zone_state(cluster)) == before
-    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
+    assert (running(cluster), zone_state(cluster)) == before
+    assert len(running(cluster)) == len(set(running(cluster)))
 
 
 def test_a_failover_while_a_zone_returns(cluster: World) -> None:
@@ -201,7 +202,7 @@
     totals = stored_zone_record(cluster).losses[-1].totals()
     assert totals["open"] == 0
     assert sum(totals.values()) == len(lost_tasks)
-    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
+    assert len(running(cluster)) == len(set(running(cluster))) == 4 * len(cluster.workers)
 
 
 def test_tasks_that_ended_between_two_leaders_are_counted_as_over(cluster: World) -> None:
@@ -258,7 +259,7 @@
     cluster.mesh_cut.clear()
     reconnect_zones(cluster)
     wait(cluster, 90.0)
-    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
+    assert len(running(cluster)) == len(set(running(cluster)))
 
 
 @pytest.mark.parametrize("back_first", [True, False])
@@ -276,7 +277,7 @@
     reconnect_zones(cluster)
     wait(cluster, 60.0)
     assert zone_state(cluster) == "up"
-    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
+    assert len(running(cluster)) == len(set(running(cluster))) == 4 * len(cluster.workers)
 
 
 def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back(cluster: World) -> None:
@@ -295,18 +296,18 @@
     cluster.submit("n0", cluster.daemon(1, crew="open", parts=2, yard="south", loaners=True))
     cluster.submit("n0", cluster.job(2, crew="open", shape="gang", parts=6, guess_s=900.0))
     wait(cluster, 8.0)
-    placed = len(running_tasks(cluster))
+    placed = len(running(cluster))
     assert placed >= 2
     cut_zone_off(cluster)
     wait(cluster, 22.0)
     assert [
         task_id
-        for task_id in running_tasks(cluster)
+        for task_id in running(cluster)
         if task_id not in running_in_zone(cluster) and task_id.startswith("req-000001")
     ] == []
     reconnect_zones(cluster)
     wait(cluster, 60.0)
-    assert {task_id for task_id in running_tasks(cluster) if task_id.startswith("req-000001")} == {
+    assert {task_id for task_id in running(cluster) if task_id.startswith("req-000001")} == {
         "req-000001/0",
         "req-000001/1",
     }
--- a/tests/test_zone_recovery_random.py
+++ b/tests/test_zone_recovery_random.py
@@ -2,10 +2,11 @@
 
 import random
 
-from cluster_helpers import leader_name, running_tasks, wait
+from cluster_helpers import leader_name
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
+from test_stories import running, wait
 from zone_helpers import (
     cut_zone_off,
     reconnect_zones,
@@ -60,7 +61,7 @@
 
     @rule()
     def finish_some(self) -> None:
-        for task_id in running_tasks(self.cluster)[::3]:
+        for task_id in running(self.cluster)[::3]:
             self.cluster.finish(task_id)
 
     @precondition(lambda self: self.cluster.leader() is not None)
@@ -77,7 +78,7 @@
         if not hasattr(self, "cluster"):
             return
         self.cluster.check()
-        assert len(running_tasks(self.cluster)) == len(set(running_tasks(self.cluster)))
+        assert len(running(self.cluster)) == len(set(running(self.cluster)))
         leader = self.cluster.leader()
         if leader is None:
             return
--- a/tests/zone_helpers.py
+++ b/tests/zone_helpers.py
@@ -2,7 +2,8 @@
 
 from typing import Any
 
-from cluster_helpers import leader_of, running_tasks, wait
+from cluster_helpers import leader_of
+from test_stories import running, wait
 from world import World
 
 from bayford.coordination.leader.scheduler import Scheduler
@@ -72,5 +73,5 @@
     tasks = 4 * len(cluster.workers)
     cluster.submit("n0", cluster.job(1, **({"crew": "open", "parts": tasks, "guess_s": 900.0} | fields)))
     wait(cluster, 5.0)
-    assert len(running_tasks(cluster)) == tasks
+    assert len(running(cluster)) == tasks
     return running_in_zone(cluster)
