--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -61,14 +61,17 @@
 
     def _present_machines(self) -> list[PooledMachine]:
         """The machines that count: neither being deleted nor at fault."""
-        return [
-            PooledMachine(MachinePool(machine.type, machine.zone, machine.spot), machine)
-            for machine in self._state.machines.values()
-            if machine.type is not None
-            and machine.zone is not None
-            and not machine.quarantined
-            and not machine.deleting
-        ]
+        present = []
+        pools: dict[tuple[int, int, bool], MachinePool] = {}  # one object each: a fleet has few pools
+        for machine in self._state.machines.values():
+            if machine.type is None or machine.zone is None or machine.quarantined or machine.deleting:
+                continue
+            key = (machine.type, machine.zone, machine.spot)
+            pool = pools.get(key)
+            if pool is None:
+                pool = pools[key] = MachinePool(*key)
+            present.append(PooledMachine(pool, machine))
+        return present
 
     def _list_is_complete(self) -> bool:
         """Whether the cloud's list shows all machines of the leader before. What that launched a moment ago
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -1,6 +1,6 @@
-"""Stops that make room for waiting work, on the machines and under the limits of the teams.
+"""Preemption: stops that make room for waiting work, on the machines and under the limits of the teams.
 
-Whom PROTOCOL lets be stopped, and what that loses, is decided in `scheduling.preemption`.
+Which tasks PROTOCOL lets be preempted, and what that loses, is decided in `scheduling.preemption`.
 """
 
 from __future__ import annotations
@@ -9,17 +9,18 @@
 import logging
 import math
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from bayford.coordination.leader.leader_state import ROOM_KEPT_S, LeaderState
 from bayford.scheduling import placement_rules, preemption
 from bayford.scheduling.model import EPS, URGENT, Job, Machine, Placement
 from bayford.scheduling.quota import TeamQuota
 
-log = logging.getLogger("bayford.engine")
+log = logging.getLogger(__name__)
 
 SEARCH_PERIOD_S = 0.25  # victims are looked for on all machines, so not in every round
 JOBS_PER_SEARCH = 4  # jobs that room is made for at a time
-MOST_PER_MACHINE = 4  # tasks stopped on one machine for one task
+MAX_STOPS_PER_MACHINE = 4  # tasks stopped on one machine for one task
 
 
 @dataclass(slots=True)
@@ -34,14 +35,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Wanting:
-    """A job that may push others out."""
+class _PreemptingJob:
+    """A waiting job that may preempt others."""
 
     job: Job
-    tasks: int  # that want room
+    tasks: int  # that need room
     unmet_guarantee: int  # of these, within the team's guarantee
 
 
+class _Option(NamedTuple):
+    """Stops on one machine that make room for one task. Options are compared by cost, then machine."""
+
+    cost: float
+    machine: int
+    victims: list[preemption.Victim]
+
+
+class _TeamVictim(NamedTuple):
+    """A task that may be stopped for a service of its own team, and its rank: the smallest is stopped
+    first."""
+
+    rank: tuple[bool, int, float, tuple[str, int]]
+    placement: Placement
+
+
+def _grace_s(job: Job) -> float:
+    """How long a stopped task of the job is given to save its progress."""
+    return job.spec.checkpoint_grace_s if job.spec.checkpoint_interval_s > 0 else 0.0
+
+
 class Preemptor:
     """Stops running tasks for waiting ones. Called under the lock of the leader's state."""
 
@@ -49,201 +71,218 @@
         self._state = state
         self._searches = 0  # so far: each begins elsewhere in a large fleet
 
+    # -- room on the machines --------------------------------------------------------------------------
+
     def make_room(self, queue: list[Job], now: float) -> None:
-        """Stop the cheapest tasks for waiting work that PROTOCOL lets push them out."""
+        """Stop the tasks that lose least, for waiting work that PROTOCOL lets preempt them."""
         state = self._state
         if now < state.preempt_at:
             return
-        wanting = self._wanting(queue, now)
-        if not wanting:
+        preempting = self._preempting_jobs(queue, now)
+        if not preempting:
             return
         state.preempt_at = now + SEARCH_PERIOD_S
         search = self._begin_search(now)
-        # What tasks give back by themselves in a moment needs no stops.
-        given = state.policy.preempt_wait_s * self._turnover()
-        for entry in wanting:
-            job, need = entry.job, entry.tasks
+        # What tasks release by themselves in a moment needs no stops.
+        released_cpus = state.policy.preempt_wait_s * self._cpus_released_per_s()
+        for entry in preempting:
+            job, tasks = entry.job, entry.tasks
             if now - job.created < 2.0 * state.policy.preempt_wait_s and not job.is_service:
-                soon = min(need, int(given / max(job.spec.cpus, 0.1)))
-                given -= soon * job.spec.cpus
-                need -= soon
-            if need > 0:
-                self._stop_for(job, need, entry.unmet_guarantee, search)
+                served = min(tasks, int(released_cpus / max(job.spec.cpus, 0.1)))
+                released_cpus -= served * job.spec.cpus
+                tasks -= served
+            if tasks > 0:
+                self._preempt_for(job, tasks, entry.unmet_guarantee, search)
+
+    def _preempting_jobs(self, queue: list[Job], now: float) -> list[_PreemptingJob]:
+        """The jobs whose waiting work may preempt other work, and for how many tasks."""
+        state = self._state
+        reserved: dict[str, int] = {}  # machines by the job that they are reserved for
+        for machine in state.machines.values():
+            if machine.reserved_until > now:
+                reserved[machine.reserved_for] = reserved.get(machine.reserved_for, 0) + 1
+        preempting = []
+        for job in queue:
+            if not job.waiting or job.not_before > now:
+                continue
+            quota = state.quotas[job.team]
+            tasks = min(len(job.waiting), quota.headroom(job.spec))
+            unmet_guarantee = 0
+            if job.is_service or now - job.created > state.policy.guarantee_wait_s:
+                unmet_guarantee = quota.unmet_guarantee(job.spec)
+            if job.spec.priority < URGENT:
+                # Room is taken back for the guarantee alone, not for what would be borrowed on top.
+                tasks = min(tasks, unmet_guarantee)
+            tasks -= reserved.get(job.spec.id, 0)
+            if tasks > 0:
+                preempting.append(_PreemptingJob(job, tasks, unmet_guarantee))
+        return preempting[:JOBS_PER_SEARCH]
 
     def _begin_search(self, now: float) -> _Search:
         state = self._state
-        quotas = [dataclasses.replace(share) for share in state.quotas]
-        busy = set()
+        quotas = [dataclasses.replace(quota) for quota in state.quotas]
+        machines_with_stops = set()
         for placement in state.stopping:
             quotas[placement.job.team].release(placement.job.spec)
-            busy.add(placement.machine)
+            machines_with_stops.add(placement.machine)
         machines = [
-            m
-            for m in state.machines.values()
-            if not m.relay and m.index not in busy and m.zone not in state.closed_zones
+            machine
+            for machine in state.machines.values()
+            if not machine.relay
+            and machine.index not in machines_with_stops
+            and machine.zone not in state.closed_zones
         ]
         running = sum(len(job.open) for job in state.jobs.values())
-        # A fleet several times as large gives back several times as much in the same time.
+        # A fleet several times as large releases several times as much in the same time.
         preemptions_left = max(state.policy.preempt_per_round, int(state.policy.preempt_share * running))
         self._searches += 1
         return _Search(now, quotas, machines, preemptions_left)
 
-    def _stop_for(self, job: Job, need: int, unmet_guarantee: int, search: _Search) -> None:
-        """Stop what makes room for `need` tasks of the job, of which `unmet_guarantee` lie within its
+    def _cpus_released_per_s(self) -> float:
+        """CPUs that running tasks release in a second, as long as they are expected to last."""
+        state = self._state
+        return sum(
+            len(job.open) * job.spec.cpus / max(1.0, state.expected(job))
+            for job in state.jobs.values()
+            if not job.is_service
+        )
+
+    def _preempt_for(self, job: Job, tasks: int, unmet_guarantee: int, search: _Search) -> None:
+        """Stop what makes room for `tasks` tasks of the job, of which `unmet_guarantee` lie within its
         guarantee."""
         state = self._state
-        for found in self._find_victims(job, search, unmet_guarantee > 0):
-            if need <= 0 or search.preemptions_left <= 0:
+        for option in self._options(job, search, unmet_guarantee > 0):
+            if tasks <= 0 or search.preemptions_left <= 0:
                 break
-            if any(victim.placement.stopping for victim in found):
+            victims = option.victims
+            if any(victim.placement.stopping for victim in victims):
                 continue  # the machine has been taken for a job before this one
-            if not all(preemption.may_stop(job, v.job, search.quotas, unmet_guarantee > 0) for v in found):
+            if not all(preemption.may_stop(job, v.job, search.quotas, unmet_guarantee > 0) for v in victims):
                 continue
             # Else smaller tasks would take what is free there already, and the stop was for nothing.
-            machine = state.machines[found[0].placement.machine]
+            machine = state.machines[option.machine]
             machine.reserved_for, machine.reserved_until = job.spec.id, search.now + ROOM_KEPT_S
             unmet_guarantee -= 1
-            need -= 1
-            for victim in found:
+            tasks -= 1
+            for victim in victims:
                 victim.job.note_preemption(victim.placement.task)
                 search.quotas[victim.job.team].release(victim.job.spec)
-                saves = victim.job.spec.checkpoint_interval_s > 0
-                state.stop(victim.placement, victim.job.spec.checkpoint_grace_s if saves else 0.0)
+                state.stop(victim.placement, _grace_s(victim.job))
                 search.preemptions_left -= 1
-            log.info("job %s waits: stopping %s", job.spec.id, [v.placement.task_id for v in found])
-
-    def _turnover(self) -> float:
-        """CPUs that running tasks give back in a second, as long as they are expected to last."""
-        state = self._state
-        return sum(
-            len(job.open) * job.spec.cpus / max(1.0, state.expected(job))
-            for job in state.jobs.values()
-            if not job.is_service
-        )
-
-    def make_room_under_limits(self, now: float) -> None:
-        """Have services run that their team's limit keeps from it while the team runs work of lower
-        priority."""
-        state = self._state
-        for job in state.jobs.values():
-            if job.is_service and job.waiting and not job.cancelled and job.not_before <= now:
-                lacking = len(job.waiting) - state.quotas[job.team].headroom(job.spec)
-                if lacking > 0:
-                    self._stop_own_work_for(job, lacking, now)
-
-    def _stop_own_work_for(self, job: Job, need: int, now: float) -> None:
-        """Stop work of the same team and of lower priority until `need` replicas fit under the team's limit:
-        first what runs where a replica may go, of that what loses least. What stops already counts."""
-        state = self._state
-        spec = job.spec
-        cpus, gpus = need * spec.cpus, need * spec.gpus
-        victims = []
-        for other in state.jobs.values():
-            if other.team != job.team or other.spec.priority >= spec.priority or other.is_service:
-                continue
-            for placement in other.open.values():
-                if placement.stopping:
-                    cpus, gpus = cpus - other.spec.cpus, gpus - other.spec.gpus
-                    continue
-                machine = state.machines[placement.machine]
-                loss = preemption.lost_work(other, placement, now, state.expected(other))
-                there = placement_rules.type_allowed(job, machine) and machine.usable
-                victims.append((not there, other.spec.priority, loss, placement.key, placement))
-        preemptions_left = 0
-        for *_, placement in sorted(victims, key=lambda v: v[:4]):
-            if preemptions_left >= state.policy.preempt_per_round or (cpus <= EPS and gpus <= EPS):
-                break
-            gives = placement.job.spec
-            if (cpus > EPS and gives.cpus > 0) or (gpus > EPS and gives.gpus > 0):
-                cpus, gpus = cpus - gives.cpus, gpus - gives.gpus
-                state.stop(placement, gives.checkpoint_grace_s if gives.checkpoint_interval_s > 0 else 0.0)
-                preemptions_left += 1
-        if preemptions_left:
             log.info(
-                "job %s waits for its team's limit: stopping %d tasks of the team", spec.id, preemptions_left
+                "preempting: job=%s machine=%s victims=%s",
+                job.spec.id,
+                machine.name,
+                [victim.placement.task_id for victim in victims],
             )
 
-    def _wanting(self, queue: list[Job], now: float) -> list[_Wanting]:
-        """Whose waiting work may push others out, how many tasks of it, and how many that is owed."""
+    def _options(self, waiting: Job, search: _Search, unmet_guarantee: bool) -> list[_Option]:
+        """The stops that would make room for one task, machine by machine, the least costly first."""
         state = self._state
-        kept: dict[str, int] = {}
-        for machine in state.machines.values():
-            if machine.reserved_until > now:
-                kept[machine.reserved_for] = kept.get(machine.reserved_for, 0) + 1
-        out = []
-        for job in queue:
-            if not job.waiting or job.not_before > now:
+        zone_counts = placement_rules.zones_open(waiting, state.zone_of)
+        max_silence_s = state.quiet_s
+        options: list[_Option] = []
+        candidates = placement_rules.candidates(waiting, search.machines, zone_counts, search.now)
+        for machine in self._window(candidates):
+            if waiting.is_service and not placement_rules.steady(machine, search.now, max_silence_s):
                 continue
-            share = state.quotas[job.team]
-            need = min(len(job.waiting), share.headroom(job.spec))
-            unmet_guarantee = 0
-            if job.is_service or now - job.created > state.policy.guarantee_wait_s:
-                unmet_guarantee = share.unmet_guarantee(job.spec)
-            if job.spec.priority < URGENT:
-                # Room is taken back for the guarantee alone, not for what would be borrowed on top.
-                need = min(need, unmet_guarantee)
-            need -= kept.get(job.spec.id, 0)
-            if need > 0:
-                out.append(_Wanting(job, need, unmet_guarantee))
-        return out[:JOBS_PER_SEARCH]
-
-    def _find_victims(
-        self, waiting: Job, search: _Search, unmet_guarantee: bool
-    ) -> list[list[preemption.Victim]]:
-        """The stops that would make room for one task, machine by machine, the cheapest first."""
-        state = self._state
-        now = search.now
-        counts = placement_rules.zones_open(waiting, state.zone_of)
-        quiet = state.quiet_s
-        out: list[tuple[float, int, list[preemption.Victim]]] = []
-        for machine in self._window(placement_rules.candidates(waiting, search.machines, counts, now)):
-            if waiting.is_service and not placement_rules.steady(machine, now, quiet):
-                continue
-            found = [
+            victims = [
                 preemption.Victim(placement.job, placement, self._loss(placement, search))
                 for placement in machine.open.values()
                 if not placement.unpreemptable
                 and preemption.may_stop(waiting, placement.job, search.quotas, unmet_guarantee)
-                and not (waiting.spec.priority < URGENT and self._ends_soon(placement, now))
+                and not (waiting.spec.priority < URGENT and self._ends_soon(placement, search.now))
             ]
-            got = preemption.victims_on(machine, waiting, found, MOST_PER_MACHINE) if found else None
-            if got is None:
+            if not victims:
                 continue
-            cost = got[1]
-            if not machine.images.get(waiting.image) and machine.type is not None:
-                # The waiting task would first fetch its image there.
-                cost += state.fetch_s(waiting, machine) * waiting.spec.cpus * state.policy.fetch_weight
-            if waiting.is_service:
-                # A loss should take few replicas of a job.
-                here = sum(placement.job is waiting for placement in machine.open.values())
-                cost += state.policy.spread_s * here * waiting.spec.cpus * state.policy.fetch_weight
-            out.append((cost, machine.index, got[0]))
-        out.sort(key=lambda entry: entry[:2])
-        return [found for _, _, found in out]
+            choice = preemption.victims_on(machine, waiting, victims, MAX_STOPS_PER_MACHINE)
+            if choice is not None:
+                cost = self._cost_on(machine, waiting, choice.loss)
+                options.append(_Option(cost, machine.index, choice.victims))
+        options.sort(key=lambda option: option[:2])
+        return options
 
     def _window(self, machines: list[Machine]) -> list[Machine]:
         """As many machines as one search may look at; the next search goes on where this one ends."""
-        most = self._state.policy.preempt_machines
-        if len(machines) <= most:
+        size = self._state.policy.preempt_machines
+        if len(machines) <= size:
             return machines
-        windows = math.ceil(len(machines) / most)
-        begin = self._searches % windows * most
-        return machines[begin : begin + most]
+        windows = math.ceil(len(machines) / size)
+        begin = self._searches % windows * size
+        return machines[begin : begin + size]
 
     def _loss(self, placement: Placement, search: _Search) -> float:
         """What stopping a task costs, the same for whichever job it makes room."""
         loss = search.losses.get(placement)
         if loss is None:
             state = self._state
-            expected = state.expected(placement.job)
-            loss = preemption.lost_work(placement.job, placement, search.now, expected)
+            expected_s = state.expected(placement.job)
+            loss = preemption.lost_work(placement.job, placement, search.now, expected_s)
             loss += preemption.delay_cost(
-                placement.job, placement, search.now, expected, state.due_s(placement.job)
+                placement.job, placement, search.now, expected_s, state.due_s(placement.job)
             )
             search.losses[placement] = loss
         return loss
 
     def _ends_soon(self, placement: Placement, now: float) -> bool:
-        """Whether a task gives its room back by itself soon; stopping it would waste its work."""
-        ran = 0.0 if placement.running_since is None else now - placement.running_since
-        return self._state.expected(placement.job) - ran < self._state.policy.guarantee_wait_s / 2
+        """Whether a task releases its room by itself soon; stopping it would waste its work."""
+        ran_s = 0.0 if placement.running_since is None else now - placement.running_since
+        return self._state.expected(placement.job) - ran_s < self._state.policy.guarantee_wait_s / 2
+
+    def _cost_on(self, machine: Machine, waiting: Job, loss: float) -> float:
+        """What it costs to have the waiting task on this machine, `loss` of it for the stops there."""
+        state = self._state
+        cost = loss
+        if not machine.images.get(waiting.image) and machine.type is not None:
+            # The waiting task would first fetch its image there.
+            cost += state.fetch_s(waiting, machine) * waiting.spec.cpus * state.policy.fetch_weight
+        if waiting.is_service:
+            # A loss should take few replicas of a job.
+            replicas = sum(placement.job is waiting for placement in machine.open.values())
+            cost += state.policy.spread_s * replicas * waiting.spec.cpus * state.policy.fetch_weight
+        return cost
+
+    # -- room under the teams' limits ------------------------------------------------------------------
+
+    def make_room_under_limits(self, now: float) -> None:
+        """Let services start that their team's limit holds back while the team runs work of lower
+        priority."""
+        state = self._state
+        for job in state.jobs.values():
+            if job.is_service and job.waiting and not job.cancelled and job.not_before <= now:
+                lacking = len(job.waiting) - state.quotas[job.team].headroom(job.spec)
+                if lacking > 0:
+                    self._preempt_own_team(job, lacking, now)
+
+    def _preempt_own_team(self, service: Job, replicas: int, now: float) -> None:
+        """Stop work of the same team and of lower priority until so many more replicas fit under the team's
+        limit. What stops already counts."""
+        cpus, gpus = replicas * service.spec.cpus, replicas * service.spec.gpus
+        victims = []
+        for job in self._state.jobs.values():
+            if job.team != service.team or job.spec.priority >= service.spec.priority or job.is_service:
+                continue
+            for placement in job.open.values():
+                if placement.stopping:
+                    cpus, gpus = cpus - job.spec.cpus, gpus - job.spec.gpus
+                else:
+                    victims.append(self._team_victim(service, placement, now))
+        stopped = 0
+        for victim in sorted(victims, key=lambda victim: victim.rank):
+            if stopped >= self._state.policy.preempt_per_round or (cpus <= EPS and gpus <= EPS):
+                break
+            job = victim.placement.job
+            if (cpus > EPS and job.spec.cpus > 0) or (gpus > EPS and job.spec.gpus > 0):
+                cpus, gpus = cpus - job.spec.cpus, gpus - job.spec.gpus
+                self._state.stop(victim.placement, _grace_s(job))
+                stopped += 1
+        if stopped:
+            log.info("preempting under the team's limit: job=%s victims=%d", service.spec.id, stopped)
+
+    def _team_victim(self, service: Job, placement: Placement, now: float) -> _TeamVictim:
+        """First goes what runs where a replica may go, of that what loses least."""
+        job = placement.job
+        machine = self._state.machines[placement.machine]
+        loss = preemption.lost_work(job, placement, now, self._state.expected(job))
+        replica_may_go = placement_rules.type_allowed(service, machine) and machine.usable
+        return _TeamVictim((not replica_may_go, job.spec.priority, loss, placement.key), placement)
--- a/bayford/scheduling/preemption.py
+++ b/bayford/scheduling/preemption.py
@@ -1,20 +1,21 @@
-"""Whose task stops so that waiting work can run, and what that loses.
+"""Which task is stopped so that waiting work can run, and what that loses.
 
 PROTOCOL "Preemption": a lower priority may be stopped for a higher one; borrowed work may be stopped to
-give a team its guarantee; nothing else.
+give a team its guarantee; nothing else. Pure: reads jobs, placements and machines, changes nothing.
 """
 
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from bayford.scheduling.model import Job, Machine, Placement
+from bayford.scheduling.model import EPS, Job, Machine, Placement
 from bayford.scheduling.quota import TeamQuota
 
 # Weights of `delay_cost`, in expected run times of the task.
 REPEATED_STOP = 0.5
 MISSED_DEADLINE = 2.0
-LEAST_LEFT = 0.1  # a task that runs for longer than expected is taken to need so much more
+MIN_LEFT = 0.1  # a task that runs for longer than expected is taken to need so much more
 LAST_TASK = 1.5  # the longest task of an array, against the mean
 RESTART_S = 10.0  # until a stopped task runs again, its image fetched
 
@@ -28,20 +29,27 @@
     loss: float
 
 
+class Victims(NamedTuple):
+    """The tasks to stop on one machine, and the CPU seconds of work that their stops throw away."""
+
+    victims: list[Victim]
+    loss: float
+
+
 def may_stop(waiting: Job, running: Job, quotas: list[TeamQuota], unmet_guarantee: bool) -> bool:
-    """Whether PROTOCOL lets `waiting` push out a task of `running`.
+    """Whether PROTOCOL lets `waiting` preempt a task of `running`.
 
     `quotas` must be as they will be once the stops under way are through; else two teams that both waited
-    would stop one another's tasks in turn. `unmet_guarantee`: it has waited long for what its team is
-    guaranteed.
+    would stop one another's tasks in turn. `unmet_guarantee`: the waiting job has waited long for what its
+    team is guaranteed.
     """
     if waiting is running:
         return False
     if waiting.spec.priority > running.spec.priority:
         return True
     if running.is_service:
-        # Its team is beyond its guarantee for the work that ends beside it, perhaps; and a gap in one
-        # service is no better than in another. Room is launched instead.
+        # Its team may exceed its guarantee only by the work that ends beside the service; and a gap in one
+        # service is no better than in another. Machines are launched instead.
         return False
     return unmet_guarantee and waiting.team != running.team and quotas[running.team].exceeds_guarantee
 
@@ -53,18 +61,18 @@
     """
     if placement.running_since is None:
         return 0.0
-    ran = max(0.0, now - placement.running_since)
+    ran_s = max(0.0, now - placement.running_since)
     if job.spec.checkpoint_interval_s > 0:
         return job.spec.checkpoint_save_s + 1.0
-    left = expected_s - ran
-    near_end = 0.0 if left > 0.25 * expected_s else 0.5 * expected_s
-    return ran + near_end
+    left_s = expected_s - ran_s
+    near_end_s = 0.0 if left_s > 0.25 * expected_s else 0.5 * expected_s
+    return ran_s + near_end_s
 
 
 def delay_cost(job: Job, placement: Placement, now: float, expected_s: float, due_s: float | None) -> float:
     """What stopping the task costs its job beyond the lost work, in seconds.
 
-    `due_s`: how long after its creation the job should be done, if that is said.
+    `due_s`: how long after its creation the job should be done, None without a deadline or objective.
 
     The task that was started last has the least to lose, so by lost work alone the same one is stopped again
     and again, and a job of a thousand tasks waits for its last one. A job that has tasks waiting anyway loses
@@ -73,36 +81,39 @@
     if job.is_service or job.spec.checkpoint_interval_s > 0:
         return 0.0
     cost = REPEATED_STOP * expected_s * job.preemption_counts.get(placement.task, 0)
-    ran = 0.0 if placement.running_since is None else now - placement.running_since
-    consecutive_exits = now + max(LEAST_LEFT * expected_s, expected_s - ran)
-    due = math.inf if due_s is None else job.created + due_s
-    if consecutive_exits > due:
-        return cost  # it is late as it is
+    ran_s = 0.0 if placement.running_since is None else now - placement.running_since
+    ends_at = now + max(MIN_LEFT * expected_s, expected_s - ran_s)
+    due_at = math.inf if due_s is None else job.created + due_s
+    if ends_at > due_at:
+        return cost  # the deadline is missed anyway
     share_waiting = min(1.0, len(job.waiting) / (0.5 * len(job.open) + 1.0))
     cost += expected_s * (1.0 - share_waiting)
-    if now + LAST_TASK * expected_s + RESTART_S > due:
+    if now + LAST_TASK * expected_s + RESTART_S > due_at:
         cost += MISSED_DEADLINE * expected_s
     return cost
 
 
 def victims_on(
-    machine: Machine, waiting: Job, found: Iterable[Victim], slots: int
-) -> tuple[list[Victim], float] | None:
-    """The cheapest stops on this machine that make room for one task, or None. `slots` bounds the stops."""
+    machine: Machine, waiting: Job, candidates: Iterable[Victim], max_stops: int
+) -> Victims | None:
+    """The stops on this machine that make room for one task of `waiting` and lose least, or None where at
+    most `max_stops` of them make none, or none are needed."""
     spec = waiting.spec
-    cpus, gpus, mem = machine.free_cpus, machine.free_gpus, machine.free_mem
+    cpus, gpus, mem_gb = machine.free_cpus, machine.free_gpus, machine.free_mem
+
+    def has_room() -> bool:
+        return cpus + EPS >= spec.cpus and gpus + EPS >= spec.gpus and mem_gb + EPS >= spec.mem_gb
+
     chosen: list[Victim] = []
     loss = 0.0
-    for victim in sorted(found, key=lambda v: v.loss / max(v.job.spec.cpus, 0.1)):
-        if cpus + 1e-6 >= spec.cpus and gpus + 1e-6 >= spec.gpus and mem + 1e-6 >= spec.mem_gb:
+    for victim in sorted(candidates, key=lambda victim: victim.loss / max(victim.job.spec.cpus, 0.1)):
+        if has_room():
             break
-        if len(chosen) == slots:
+        if len(chosen) == max_stops:
             return None
         chosen.append(victim)
         loss += victim.loss * victim.job.spec.cpus
         cpus += victim.job.spec.cpus
         gpus += victim.job.spec.gpus
-        mem += victim.job.spec.mem_gb
-    if cpus + 1e-6 >= spec.cpus and gpus + 1e-6 >= spec.gpus and mem + 1e-6 >= spec.mem_gb and chosen:
-        return chosen, loss
-    return None
+        mem_gb += victim.job.spec.mem_gb
+    return Victims(chosen, loss) if chosen and has_room() else None
