--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -95,7 +95,7 @@
     ) -> tempered.Plan | None:
         state = self._state
         spec = job.spec
-        zone_counts = placement_rules.zones_open(job, state.zone_of)
+        zone_counts = placement_rules.placements_by_zone(job, state.zone_of)
         allowed_machines = placement_rules.candidates(job, usable, zone_counts, now)
         if any(machine.has_room(spec) for machine in allowed_machines):
             return None  # it fits as it is and is about to be placed
@@ -155,7 +155,7 @@
         job_id, task = job_and_task(key)
         job, machine = state.jobs[job_id], state.machines[target]
         zone = state.zone_of(job.open[task].machine)
-        zone_counts = placement_rules.zones_open(job, state.zone_of)
+        zone_counts = placement_rules.placements_by_zone(job, state.zone_of)
         if zone is not None:
             zone_counts[zone] -= 1
             if not zone_counts[zone]:
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -1,26 +1,25 @@
 """Load spread in the leader's rounds: tasks are placed by cost, and running ones leave overloaded machines.
 
-The decisions are those of the `spread` package; this shows them the fleet and carries them out. What it says
-in the log, and every setting, is on the page docs/load-spread.md.
+The decisions are those of the `spread` package; this shows them the fleet and carries them out. Its log lines
+and settings are described in docs/load-spread.md.
 """
 
 import logging
 from collections.abc import Callable
 
-from bayford.coordination.leader.balancer import Balancer
+from bayford.coordination.leader.balancer import Balancer, job_and_task
 from bayford.coordination.leader.commit_batch import Migration
 from bayford.coordination.leader.leader_state import AttemptKey, LeaderState
 from bayford.coordination.leader.migrator import Migrator
-from bayford.protocol import workers
 from bayford.scheduling import tempered
 from bayford.scheduling.model import ARRAY, Job, Machine, Placement
-from bayford.spread.machine_snapshot import MachineSnapshot, picture
+from bayford.spread.machine_snapshot import MachineSnapshot, snapshot_of
 from bayford.spread.rebalance import Rebalancing, rebalance
 from bayford.spread.score import Choice, Chooser, Weights, describe
 
-log = logging.getLogger("bayford.spread")
+log = logging.getLogger(__name__)
 
-WORTH_IT = 2.0  # a task is moved only if it has this many times longer to run than the move takes
+MIN_GAIN = 2.0  # a task is moved only if it has this many times longer to run than the migration takes
 
 
 class LoadSpreader:
@@ -32,37 +31,43 @@
         self._migrator = migrator
         policy = state.policy
         self._weights = Weights(policy.spread_fetch_weight, policy.spread_load_s, policy.spread_affinity_s)
-        self._unknown_types: set[int] = set()  # machines that the log has named already
+        self._logged_unknown_types: set[int] = set()  # machines
 
     # -- placement -------------------------------------------------------------------------------------
 
     def chooser(self, job: Job, count: int, may_take: Callable[[Machine], bool]) -> Chooser:
         """A chooser for up to `count` tasks of the job."""
         state = self._state
-        most = max(count, state.policy.spread_candidates)
-        candidates = state.capacity_index.least_loaded(job, most, may_take)
-        average = self._average()
-        return Chooser(job, candidates, average, self._weights, lambda machine: state.fetch_s(job, machine))
-
-    def _average(self) -> float:
-        """Booked share of the fleet's CPUs."""
-        cpus = free = 0.0
+        size = max(count, state.policy.spread_candidates)
+        candidates = state.capacity_index.least_loaded(job, size, may_take)
+        return Chooser(
+            job,
+            candidates,
+            average=self._average_load(),
+            weights=self._weights,
+            fetch_s=lambda machine: state.fetch_s(job, machine),
+        )
+
+    def _average_load(self) -> float:
+        """Reserved share of the fleet's CPUs."""
+        cpus = free_cpus = 0.0
         for machine in self._state.machines.values():
             if machine.type is not None and not machine.deleting:
                 cpus += machine.cpus
-                free += machine.free_cpus
-        return 1.0 - free / cpus if cpus > 0 else 0.0
+                free_cpus += machine.free_cpus
+        return 1.0 - free_cpus / cpus if cpus > 0 else 0.0
 
-    def log_choices(self, job: Job, choices: list[Choice], held: dict[int, bool]) -> None:
-        """Say why these machines; at debug for each task by itself."""
+    def log_choices(self, job: Job, choices: list[Choice], had_image: dict[int, bool]) -> None:
+        """Log why these machines were chosen, at debug level for each task. `had_image`: by machine, whether
+        it held the image before."""
         if not choices:
             return
-        log.info("job %s: %s", job.spec.id, describe(choices, held))
+        log.info("placed by cost: job=%s %s", job.spec.id, describe(choices, had_image))
         if log.isEnabledFor(logging.DEBUG):
             for choice in choices:
                 cost = choice.cost
                 log.debug(
-                    "job %s to %s: fetch %.1f s, load %.1f s, affinity %.2f s",
+                    "placed by cost: job=%s machine=%s fetch_s=%.1f load_s=%.1f affinity_s=%.2f",
                     job.spec.id,
                     choice.machine.name,
                     cost.fetch_s,
@@ -75,8 +80,8 @@
     def step(self, work_waits: bool, now: float) -> None:
         """Move running tasks off machines far above the average, if that lowers the highest load.
 
-        Moves that free room for waiting work come first: nothing is moved while work waits for room, or while
-        stops are under way.
+        Migrations that free room for waiting work come first: nothing is moved while work waits for room, or
+        while stops are under way.
         """
         state = self._state
         policy = state.policy
@@ -85,8 +90,8 @@
         state.spread_at = now + policy.spread_every_s
         if work_waits or state.stopping or state.uncounted_migrations:
             return
-        known = {found.index: found for found in self._known(now)}
-        hosts = [self._host(found, now) for found in known.values()]
+        known = {snapshot.index: snapshot for snapshot in self._known(now)}
+        hosts = [self._host(snapshot, now) for snapshot in known.values()]
         running = sum(len(job.open) for job in state.jobs.values())
         counts = tempered.Counts(
             policy.balance_trials, policy.balance_iterations, tempered.budget(running, policy.balance_share)
@@ -100,30 +105,30 @@
             self._carry_out(plan, known, now)
 
     def _known(self, now: float) -> list[MachineSnapshot]:
-        """The machines between which this round moves work: answering ones, by facts that are not old."""
+        """The machines between which this round moves work: responsive ones, by facts that are not old."""
         state = self._state
-        found = []
+        accepting = []
         for machine in state.machines.values():
             if machine.registered and machine.type is None:
                 self._log_unknown_type(machine)
-            elif machine.reserved_until <= now and picture(machine, now).accepts(state.quiet_s):
-                found.append(machine)
-        return [picture(machine, now) for machine in self._balancer.known(found)]
+            elif machine.reserved_until <= now and snapshot_of(machine, now).accepts(state.quiet_s):
+                accepting.append(machine)
+        return [snapshot_of(machine, now) for machine in self._balancer.known(accepting)]
 
     def _log_unknown_type(self, machine: Machine) -> None:
-        if machine.index not in self._unknown_types:
-            self._unknown_types.add(machine.index)
-            log.error("machine %s: its type is not in the catalog; it takes no part in moves", machine.name)
+        if machine.index not in self._logged_unknown_types:
+            self._logged_unknown_types.add(machine.index)
+            log.error("machine type not in the catalog, no migrations there: machine=%s", machine.name)
 
-    def _host(self, found: MachineSnapshot, now: float) -> tempered.Host:
+    def _host(self, snapshot: MachineSnapshot, now: float) -> tempered.Host:
         items = [
             tempered.Item(
                 placement.key, (placement.job.spec.cpus, placement.job.spec.gpus, placement.job.spec.mem_gb)
             )
-            for placement in self._state.machines[found.index].open.values()
+            for placement in self._state.machines[snapshot.index].open.values()
             if self._movable(placement, now)
         ]
-        return tempered.Host(found.index, found.cpus, found.free, items)
+        return tempered.Host(snapshot.index, snapshot.cpus, snapshot.free, items)
 
     def _movable(self, placement: Placement, now: float) -> bool:
         """Whether the task may be moved for balance alone: no service, no part of a gang; nothing that would
@@ -145,20 +150,21 @@
     def _allowed(self, key: AttemptKey, target: int, now: float) -> bool:
         """Whether the task may go to the target, and has long enough to run that it pays."""
         state = self._state
-        job_id, task = workers.split_task(key[0]) or ("", 0)
+        job_id, task = job_and_task(key)
         job = state.jobs[job_id]
         placement = job.open[task]
         machine = state.machines[target]
-        since = now if placement.running_since is None else placement.running_since
-        left_s = state.expected(job) - (now - since)
+        running_since = now if placement.running_since is None else placement.running_since
+        ran_s = now - running_since
+        left_s = state.expected(job) - ran_s
         fetch_s = 0.0 if machine.images.get(job.image) else state.fetch_s(job, machine)
-        lost_s = 0.0 if job.spec.checkpoint_interval_s > 0 else now - since
-        pays = left_s > WORTH_IT * (job.spec.checkpoint_save_s + fetch_s + lost_s)
+        lost_s = 0.0 if job.spec.checkpoint_interval_s > 0 else ran_s
+        pays = left_s > MIN_GAIN * (job.spec.checkpoint_save_s + fetch_s + lost_s)
         return pays and self._balancer.may_move(key, target)
 
     def _carry_out(self, plan: Rebalancing, known: dict[int, MachineSnapshot], now: float) -> None:
-        """Begin the plan's moves. The room of a target is kept for one job, so that nobody else takes it
-        while the task saves; moves of a second job there are left to the next round."""
+        """Begin the plan's migrations. A target is reserved for one job, so that no other takes the room
+        while the task saves; migrations of a second job there are left to the next round."""
         state = self._state
         by_target: dict[int, list[Migration]] = {}
         for relocation in plan.relocations:
@@ -169,15 +175,16 @@
         for target, moves in by_target.items():
             self._migrator.keep_room(target, moves[0].placement.job, [move.placement for move in moves])
             for move in moves:
-                self._log_move(move, plan, known)
+                self._log_migration(move, plan, known)
             self._migrator.move(moves)
 
-    def _log_move(self, move: Migration, plan: Rebalancing, known: dict[int, MachineSnapshot]) -> None:
+    def _log_migration(self, move: Migration, plan: Rebalancing, known: dict[int, MachineSnapshot]) -> None:
         state = self._state
         job = move.placement.job
         used = state.restarts.used(job.spec.id, move.placement.task)
         log.info(
-            "moving %s from %s (%s) to %s (%s): imbalance %.2f, then %.2f; restart %d of %d",
+            "migrating: task=%s source=%s (%s) target=%s (%s) imbalance_before=%.2f imbalance_after=%.2f "
+            "restart=%d max_restarts=%d",
             move.placement.task_id,
             state.machine_names[move.placement.machine],
             known[move.placement.machine].describe(),
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -1,6 +1,6 @@
-"""Moves of running tasks: stops with a hint where to go on.
+"""Migrations of running tasks: stops with a hint where to go on.
 
-With load spread on, a move is counted against the restart budget of its task's class before the task is
+With load spread on, a migration is counted against the restart budget of its task's class before the task is
 stopped, and the count is durable first, so that no leader after this one allows more.
 """
 
@@ -12,20 +12,20 @@
 from bayford.coordination.leader.leader_state import ROOM_KEPT_S, LeaderState
 from bayford.scheduling.model import Job, Placement
 
-log = logging.getLogger("bayford.engine")
+log = logging.getLogger(__name__)
 
-FORGET_S = 5.0  # a move whose count became durable later than this is not begun: the snapshot has changed
+MAX_DECISION_AGE_S = 5.0  # a migration whose count became durable later is not begun: the fleet has changed
 
 
 class Migrator(LeaderListener):
-    """Begins moves. Called under the lock of the leader's state."""
+    """Begins migrations. Called under the lock of the leader's state."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
         state.events.subscribe(self)
 
     def allows(self, job: Job, task: int) -> bool:
-        """Whether the task may be restarted by a move once more."""
+        """Whether the task may be restarted by a migration once more."""
         return not self._state.policy.spread or self._state.restarts.allows(
             job.spec.id, job.spec.job_class, task
         )
@@ -46,11 +46,11 @@
         self.begin(migrations)
 
     def begin(self, moves: Sequence[Migration]) -> None:
-        """Stop the tasks, as far as the moves still make sense."""
+        """Stop the tasks, as far as the migrations still make sense."""
         for move in moves:
-            why_not = self._obstacle(move)
-            if why_not:
-                log.info("%s is not moved: %s", move.placement.task_id, why_not)
+            obstacle = self._obstacle(move)
+            if obstacle:
+                log.info("migration dropped: task=%s reason=%s", move.placement.task_id, obstacle)
                 continue
             job = move.placement.job
             job.hints[move.placement.task] = move.target
@@ -59,22 +59,22 @@
             self._state.moves += 1
 
     def _obstacle(self, move: Migration) -> str:
-        """Why the move can't begin any more, empty if it can."""
+        """Why the migration can't begin any more, empty if it can."""
         state = self._state
         placement = move.placement
         if placement.job.open.get(placement.task) is not placement:
-            return "it has ended or its machine is gone"
+            return "the task has ended or its machine is gone"
         if placement.stopping or placement.job.cancelled:
-            return "it is being stopped"
+            return "the task is being stopped"
         target = state.machines.get(move.target)
         if target is None or not target.usable:
-            return "its target takes no work any more"
-        if state.clock() - move.decided_at > FORGET_S:
-            return "its count took long to be written"
+            return "the target takes no work any more"
+        if state.clock() - move.decided_at > MAX_DECISION_AGE_S:
+            return "its restart count took too long to be written"
         return ""
 
     def keep_room(self, index: int, job: Job, moved: Sequence[Placement]) -> None:
-        """Keep a machine's room for a job while these tasks save."""
+        """Reserve the machine for a job while these tasks save their progress."""
         machine = self._state.machines[index]
-        saving = max((placement.job.spec.checkpoint_save_s for placement in moved), default=0.0)
-        machine.reserved_for, machine.reserved_until = job.spec.id, self._state.clock() + ROOM_KEPT_S + saving
+        save_s = max((placement.job.spec.checkpoint_save_s for placement in moved), default=0.0)
+        machine.reserved_for, machine.reserved_until = job.spec.id, self._state.clock() + ROOM_KEPT_S + save_s
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -179,12 +179,12 @@
     def _options(self, waiting: Job, search: _Search, unmet_guarantee: bool) -> list[_Option]:
         """The stops that would make room for one task, machine by machine, the least costly first."""
         state = self._state
-        zone_counts = placement_rules.zones_open(waiting, state.zone_of)
+        zone_counts = placement_rules.placements_by_zone(waiting, state.zone_of)
         max_silence_s = state.quiet_s
         options: list[_Option] = []
         candidates = placement_rules.candidates(waiting, search.machines, zone_counts, search.now)
         for machine in self._window(candidates):
-            if waiting.is_service and not placement_rules.steady(machine, search.now, max_silence_s):
+            if waiting.is_service and not placement_rules.is_stable(machine, search.now, max_silence_s):
                 continue
             victims = [
                 preemption.Victim(placement.job, placement, self._loss(placement, search))
--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -37,7 +37,7 @@
             # its zone is unknown, so the zone rules can't be checked.
             job.why_waiting = "zone of a running task unknown"
             return
-        zone_counts = placement_rules.zones_open(job, self._state.zone_of) if by_zone else {}
+        zone_counts = placement_rules.placements_by_zone(job, self._state.zone_of) if by_zone else {}
         # The spot machines alone are in time: let the on-demand ones run empty and go back.
         spot_only = (
             not self._state.on_demand_needed
@@ -91,7 +91,7 @@
         starved = self._queue.is_starved(job, now)
         placed = 0
         while placed < count:
-            machine = self._hinted(job, may_take) or placement_rules.first(job, machines)
+            machine = self._hinted(job, may_take) or placement_rules.first_with_room(job, machines)
             if machine is None:
                 job.why_waiting = NO_ROOM
                 break
@@ -134,11 +134,11 @@
         quota = self._state.quotas[job.team]
         starved = self._queue.is_starved(job, now)
         while job.waiting and count > 0 and quota.allows(job.spec):
-            zone_counts = placement_rules.zones_open(job, self._state.zone_of)
+            zone_counts = placement_rules.placements_by_zone(job, self._state.zone_of)
             machines = placement_rules.candidates(job, machines, zone_counts, now)
             hint = job.hints.pop(job.waiting[-1], None)
             hinted = [m for m in machines if m.index == hint and m.has_room(job.spec)]
-            machine = hinted[0] if hinted else placement_rules.first(job, machines)
+            machine = hinted[0] if hinted else placement_rules.first_with_room(job, machines)
             if machine is None:
                 job.why_waiting = NO_ROOM
                 break
@@ -148,10 +148,10 @@
     def _place_service(self, job: Job, count: int, machines: list[Machine], now: float) -> None:
         """Replicas one by one, since each changes which machine is best for the next."""
         max_silence_s = self._state.quiet_s
-        machines = [m for m in machines if placement_rules.steady(m, now, max_silence_s)]
+        machines = [m for m in machines if placement_rules.is_stable(m, now, max_silence_s)]
         quota = self._state.quotas[job.team]
         while job.waiting and count > 0 and quota.allows(job.spec):
-            zone_counts = placement_rules.zones_open(job, self._state.zone_of)
+            zone_counts = placement_rules.placements_by_zone(job, self._state.zone_of)
             fitting = [
                 m
                 for m in machines
--- a/bayford/coordination/leader/waiting_demand.py
+++ b/bayford/coordination/leader/waiting_demand.py
@@ -149,7 +149,7 @@
         if job.spec.one_zone or job.spec.spread:
             # A machine in a zone that is closed to what still waits is launched in vain, and again and
             # again.
-            zone_counts = placement_rules.zones_open(job, self._state.zone_of)
+            zone_counts = placement_rules.placements_by_zone(job, self._state.zone_of)
             return frozenset(
                 pool for pool in pools if placement_rules.zone_allowed(job, pool.zone, zone_counts)
             )
--- a/bayford/scheduling/capacity_index.py
+++ b/bayford/scheduling/capacity_index.py
@@ -1,4 +1,4 @@
-"""Machines with room, indexed, so that finding the best ones for a job does not mean looking at the fleet.
+"""Machines with free capacity, indexed: the best ones for a job are found without a search of the fleet.
 
 The order is that of `placement_rules.score`: machines that hold the image, then those that fetch it, then the
 rest; in each, spot before on-demand ones, the fullest first, the lowest number first. Machines alike in type,
@@ -28,34 +28,34 @@
 @dataclass(slots=True)
 class _Bucket:
     free_cpus: float  # of the first machine in it, unrounded
-    free_share: float  # the same against all of its CPUs
+    free_share: float  # the same as a share of its CPUs
     indices: list[int] = field(default_factory=list)  # of machines, ascending
 
 
 class CapacityIndex:
-    """The machines that have some CPU or card free."""
+    """The machines that have some CPU or GPU free. Called under the lock of the leader's state."""
 
     def __init__(self) -> None:
         self.machines: dict[int, Machine] = {}
         self._keys: dict[int, BucketKey] = {}
         self._buckets: dict[BucketKey, _Bucket] = {}
-        self._holders: dict[int, set[int]] = {}  # machines by image, those without room too
+        self._holders: dict[int, set[int]] = {}  # machines by image, those without free capacity too
 
     def __len__(self) -> int:
         return len(self.machines)
 
     def update(self, machine: Machine) -> None:
-        """The machine's booked room, or what is known of the machine, has changed."""
-        old = self._keys.get(machine.index)
-        new: BucketKey | None = None
+        """The machine's reserved capacity, or what is known of the machine, has changed."""
+        old_key = self._keys.get(machine.index)
+        new_key: BucketKey | None = None
         if machine.free_cpus > EPS or machine.free_gpus > EPS:
-            new = BucketKey(machine.type, machine.zone, machine.spot, round(machine.free_cpus, 4))
-        if new == old:
+            new_key = BucketKey(machine.type, machine.zone, machine.spot, round(machine.free_cpus, 4))
+        if new_key == old_key:
             return
-        if old is not None:
-            self._take_out(machine.index, old)
-        if new is not None:
-            self._put_in(machine, new)
+        if old_key is not None:
+            self._take_out(machine.index, old_key)
+        if new_key is not None:
+            self._put_in(machine, new_key)
 
     def remove(self, machine: Machine) -> None:
         """The machine is gone."""
@@ -70,7 +70,7 @@
         self._holders.setdefault(image, set()).add(machine.index)
 
     def dropped(self, machine: Machine, image: int) -> None:
-        """The machine has the image no more."""
+        """The machine no longer has the image."""
         holders = self._holders.get(image)
         if holders is not None:
             holders.discard(machine.index)
@@ -99,28 +99,28 @@
     ) -> list[Machine]:
         """Up to `count` machines with room for a task of the job, the best first.
 
-        `may_take` says whether a machine may be used at all, room aside. `with_image_only`: none that would
-        have to begin a fetch.
+        `may_take` says whether a machine may be used at all, free capacity aside. `with_image_only`: none
+        that would have to begin a fetch.
         """
-        found = self._holding(job, count, may_take)
-        if with_image_only or len(found) >= count:
-            return found
-        taken = {machine.index for machine in found}
+        best = self._holding(job, count, may_take)
+        if with_image_only or len(best) >= count:
+            return best
+        taken = {machine.index for machine in best}
         for machine in self._in_order(job):
             if machine.index not in taken and job.image not in machine.images and may_take(machine):
-                found.append(machine)
-                if len(found) == count:
+                best.append(machine)
+                if len(best) == count:
                     break
-        return found
+        return best
 
     def least_loaded(self, job: Job, count: int, may_take: Callable[[Machine], bool]) -> list[Machine]:
         """Machines with room for a task of the job to choose from by load: up to `count` of the least loaded
         and as many of those that hold the job's image or fetch it."""
-        found = {}
+        candidates = {}
         for machine in self._in_order(job, emptiest=True):
             if may_take(machine):
-                found[machine.index] = machine
-                if len(found) == count:
+                candidates[machine.index] = machine
+                if len(candidates) == count:
                     break
         holders = (
             machine
@@ -128,8 +128,8 @@
             if machine is not None and machine.has_room(job.spec) and may_take(machine)
         )
         for machine in heapq.nsmallest(count, holders, key=lambda m: (-m.free_cpus / m.cpus, m.index)):
-            found[machine.index] = machine
-        return list(found.values())
+            candidates[machine.index] = machine
+        return list(candidates.values())
 
     def _holding(self, job: Job, count: int, may_take: Callable[[Machine], bool]) -> list[Machine]:
         """The best machines that hold or fetch the job's image."""
@@ -144,16 +144,16 @@
             )
             return heapq.nsmallest(count, fitting, key=lambda machine: placement_rules.score(job, machine))
         # So many hold it that a walk in the order of the score meets enough of them soon.
-        there: list[Machine] = []
-        coming: list[Machine] = []
+        with_image: list[Machine] = []
+        fetching: list[Machine] = []
         for machine in self._in_order(job):
-            have = machine.images.get(job.image)
-            if have is None or (not have and len(coming) == count) or not may_take(machine):
+            fetched = machine.images.get(job.image)
+            if fetched is None or (not fetched and len(fetching) == count) or not may_take(machine):
                 continue
-            (there if have else coming).append(machine)
-            if len(there) == count:
+            (with_image if fetched else fetching).append(machine)
+            if len(with_image) == count:
                 break
-        return (there + coming)[:count]
+        return (with_image + fetching)[:count]
 
     def _in_order(self, job: Job, emptiest: bool = False) -> Iterator[Machine]:
         """All machines with room for a task of the job by the score, images aside; or the emptiest first."""
@@ -167,15 +167,15 @@
             and (job.zone is None or key.zone == job.zone)
         ]
         fitting.sort(key=lambda entry: entry[:2])
-        at = 0
-        while at < len(fitting):
+        begin = 0
+        while begin < len(fitting):
             # Buckets of one rank, of several types or zones, are walked together.
-            end = at + 1
-            while end < len(fitting) and fitting[end][:2] == fitting[at][:2]:
+            end = begin + 1
+            while end < len(fitting) and fitting[end][:2] == fitting[begin][:2]:
                 end += 1
-            alike = [entry[2].indices for entry in fitting[at:end]]
-            for index in alike[0] if len(alike) == 1 else heapq.merge(*alike):
+            same_rank = [entry[2].indices for entry in fitting[begin:end]]
+            for index in same_rank[0] if len(same_rank) == 1 else heapq.merge(*same_rank):
                 machine = self.machines[index]
                 if machine.has_room(spec):
                     yield machine
-            at = end
+            begin = end
--- a/bayford/scheduling/policy.py
+++ b/bayford/scheduling/policy.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-# Fields whose names in the operators' script differ: operators' scripts keep working as they are.
+# Fields of `Policy` whose names in the operators' script differ: the names in scripts stay as they are.
 SETTING_NAMES: Mapping[str, str] = {
     "service_share": "standing_share",
     "service_floor": "standing_floor",
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Values that the operators' script may replace. `deploy/policy.star` says what each is for."""
+    """Values that the operators' script may replace. `deploy/policy.star` says what each is for.
+
+    Names that end in `_s` are seconds, in `_share` a part of 1, in `_weight` a factor.
+    """
 
     # order of service
     aging_s: float = 60.0
--- a/bayford/scheduling/tempered.py
+++ b/bayford/scheduling/tempered.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class Host:
-    """A machine in the snapshot, as late as the snapshot is."""
+    """A machine in a snapshot of the fleet, as old as the snapshot is."""
 
     index: int
     cpus: float
@@ -34,7 +34,7 @@
 
     @property
     def load(self) -> float:
-        """Booked share of the CPUs, the design's starting measure of load."""
+        """Reserved share of the CPUs, the design's starting measure of load."""
         return 1.0 - self.free[0] / self.cpus if self.cpus > 0 else 1.0
 
     def share(self, item: Item) -> float:
@@ -68,7 +68,7 @@
     moves: int = 1
 
 
-Allowed = Callable[[tuple[str, int], int], bool]  # may this task run on that machine
+Allowed = Callable[[tuple[str, int], int], bool]  # whether this task may run on that machine
 
 
 def add(a: Room, b: Room) -> Room:
@@ -88,9 +88,9 @@
 
 def imbalance(loads: Iterable[float]) -> float:
     """Equation 1: highest load over average load, minus 1."""
-    found = list(loads)
-    average = sum(found) / len(found) if found else 0.0
-    return max(found) / average - 1.0 if average > 0 else 0.0
+    values = list(loads)
+    average = sum(values) / len(values) if values else 0.0
+    return max(values) / average - 1.0 if average > 0 else 0.0
 
 
 def build_cmf(loads: Sequence[float]) -> list[float]:
@@ -106,12 +106,12 @@
     total = sum(weights)
     if total <= EPS:
         return []
-    out: list[float] = []
+    cmf: list[float] = []
     mass = 0.0
     for weight in weights:
         mass += weight / total
-        out.append(mass)
-    return out
+        cmf.append(mass)
+    return cmf
 
 
 def sample(cmf: Sequence[float], rng: random.Random) -> int:
@@ -135,10 +135,10 @@
     The paper's cutoff is strictly above the excess; a task of exactly the needed room frees it too, so
     here it may be equal.
     """
-    enough = [load(i) for i in items if load(i) >= excess - EPS]
-    if not enough:
+    sufficient = [load(i) for i in items if load(i) >= excess - EPS]
+    if not sufficient:
         return sorted(items, key=lambda i: (-load(i), i.key))
-    cutoff = min(enough)
+    cutoff = min(sufficient)
     light = sorted((i for i in items if load(i) <= cutoff + EPS), key=lambda i: (-load(i), i.key))
     heavy = sorted((i for i in items if load(i) > cutoff + EPS), key=lambda i: (load(i), i.key))
     return light + heavy
@@ -193,18 +193,20 @@
     best: Plan | None = None
     for _ in range(counts.trials):
         trial = copy_hosts(hosts)
-        here = next(h for h in trial if h.index == source)
-        others = [h for h in trial if h.index != source]
+        source_host = next(host for host in trial if host.index == source)
+        others = [host for host in trial if host.index != source]
         moves: list[Move] = []
         for _ in range(counts.iterations):
-            excess = max(0.0, (need[0] - here.free[0]) / here.cpus) if here.cpus > 0 else 0.0
-            moves += transfer(here, others, excess, has_room, counts.moves - len(moves), allowed, rng)
-            if has_room(here):
+            excess = (
+                max(0.0, (need[0] - source_host.free[0]) / source_host.cpus) if source_host.cpus > 0 else 0.0
+            )
+            moves += transfer(source_host, others, excess, has_room, counts.moves - len(moves), allowed, rng)
+            if has_room(source_host):
                 break
-        if moves and has_room(here):
-            left = imbalance(h.load for h in trial)
-            if best is None or left < best.imbalance:
-                best = Plan(source, tuple(moves), left)
+        if moves and has_room(source_host):
+            after = imbalance(host.load for host in trial)
+            if best is None or after < best.imbalance:
+                best = Plan(source, tuple(moves), after)
     return best
 
 
--- a/bayford/spread/__init__.py
+++ b/bayford/spread/__init__.py
@@ -1,1 +1,1 @@
-"""Load spread: where tasks go, and moves of running ones when the load is uneven. Pure decisions."""
+"""Load spread: where tasks go, and migrations of running ones when the load is uneven. Pure decisions."""
--- a/bayford/spread/rebalance.py
+++ b/bayford/spread/rebalance.py
@@ -1,4 +1,4 @@
-"""Moves of running tasks off machines that are loaded far above the average.
+"""Migrations of running tasks off machines that are loaded far above the average.
 
 This is the paper's own use of its transfer stage (Algorithm 3, section V), which `scheduling.tempered` turns
 to freeing room: the sources are the machines above `threshold` times the average, the excess of each is what
@@ -9,6 +9,7 @@
 import random
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
+from typing import Self
 
 from bayford.scheduling import tempered
 from bayford.scheduling.model import EPS
@@ -40,13 +41,13 @@
     imbalance: float  # equation 1
     excess: float  # load above the threshold, all machines together
 
-    @staticmethod
-    def of(hosts: Sequence[Host], threshold: float) -> "_Balance":
+    @classmethod
+    def of(cls, hosts: Sequence[Host], threshold: float) -> Self:
         limit = threshold * sum(host.load for host in hosts) / len(hosts)
         excess = sum(max(0.0, host.load - limit) for host in hosts)
-        return _Balance(tempered.imbalance(host.load for host in hosts), excess)
+        return cls(tempered.imbalance(host.load for host in hosts), excess)
 
-    def better_than(self, other: "_Balance") -> bool:
+    def better_than(self, other: Self) -> bool:
         if abs(self.imbalance - other.imbalance) > EPS:
             return self.imbalance < other.imbalance
         return self.excess < other.excess - EPS
@@ -92,7 +93,7 @@
     hosts: list[Host], threshold: float, counts: Counts, allowed: Allowed, rng: random.Random
 ) -> list[Relocation]:
     """Iterations over the overloaded machines, on hosts that it changes."""
-    out: list[Relocation] = []
+    relocations: list[Relocation] = []
     moved: set[tuple[str, int]] = set()
 
     def may_move(key: tuple[str, int], target: int) -> bool:
@@ -108,12 +109,12 @@
                 [host for host in hosts if host is not source],
                 source.load - limit,
                 _below(limit),
-                counts.moves - len(out),
+                counts.moves - len(relocations),
                 may_move,
                 rng,
             )
             moved.update(move.key for move in moves)
-            out += [Relocation(move.key, source.index, move.target) for move in moves]
-        if not overloaded or len(out) >= counts.moves:
+            relocations += [Relocation(move.key, source.index, move.target) for move in moves]
+        if not overloaded or len(relocations) >= counts.moves:
             break
-    return out
+    return relocations
--- a/bayford/spread/score.py
+++ b/bayford/spread/score.py
@@ -15,8 +15,8 @@
 
 from bayford.scheduling.model import EPS, Job, Machine
 
-SHARED_FETCH = 1.0  # how much longer a fetch takes for each other one on the same link
-HALF_FETCHED = 0.5  # a fetch under way has this part of its time left, as a guess
+SHARED_FETCH = 1.0  # how much longer a fetch takes for each other one on the same link, as a share of it
+FETCH_LEFT = 0.5  # a fetch under way has this part of its time left, as a guess
 HASH_RANGE = 2**64
 
 
@@ -26,7 +26,7 @@
 
     fetch: float = 1.0  # seconds of cost for a second of fetching
     load_s: float = 10.0  # seconds for a whole machine's load above the average
-    affinity_s: float = 0.5  # seconds at the most between the machines that rendezvous hashing tells apart
+    affinity_s: float = 0.5  # seconds at the most between machines that differ by rendezvous hashing alone
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
     machine: Machine
     cost: Cost
-    load: float  # booked share of its CPUs, the task included
+    load: float  # reserved share of its CPUs, the task included
 
 
 def rendezvous(image: str, machine: str) -> float:
@@ -60,17 +60,17 @@
 
 def fetch_time(job: Job, machine: Machine, fetch_s: float) -> float:
     """How long until the machine has the job's image, `fetch_s` if it has its link to itself."""
-    have = machine.images.get(job.image)
-    if have:
+    fetched = machine.images.get(job.image)
+    if fetched:
         return 0.0
-    if have is not None:
-        return HALF_FETCHED * fetch_s
-    others = sum(not there for there in machine.images.values())
-    return fetch_s * (1.0 + SHARED_FETCH * others)
+    if fetched is not None:
+        return FETCH_LEFT * fetch_s
+    other_fetches = sum(not fetched for fetched in machine.images.values())
+    return fetch_s * (1.0 + SHARED_FETCH * other_fetches)
 
 
 class Chooser:
-    """Chooses machines for the tasks of one job, one after the other, each changing the snapshot."""
+    """Chooses machines for the tasks of one job, one after the other; each choice changes the costs."""
 
     def __init__(
         self,
@@ -106,7 +106,8 @@
         return 1.0 - (machine.free_cpus - self._job.spec.cpus) / machine.cpus
 
     def next(self) -> Choice | None:
-        """The machine that costs least now. The caller books the task there and calls `placed`."""
+        """The machine that costs least now, None if none has room. The caller reserves the machine for the
+        task and calls `placed`."""
         while self._heap:
             _, _, machine, cost = heapq.heappop(self._heap)
             if machine.has_room(self._job.spec):
@@ -114,19 +115,19 @@
         return None
 
     def placed(self, choice: Choice) -> None:
-        """A task has been booked on the chosen machine, which may take more."""
+        """The chosen machine has been reserved for a task, and may take more."""
         self._push(choice.machine)
 
 
-def describe(choices: Iterable[Choice], images: Mapping[int, bool]) -> str:
-    """For the log: how many tasks go where, and what decided. `images`: by machine, whether it holds the
-    image already."""
+def describe(choices: Iterable[Choice], had_image: Mapping[int, bool]) -> str:
+    """For the log: how many tasks go where, and what decided. `had_image`: by machine, whether it held the
+    image already. There must be at least one choice."""
     chosen = list(choices)
-    holding = sum(images.get(choice.machine.index, False) for choice in chosen)
+    holding = sum(had_image.get(choice.machine.index, False) for choice in chosen)
     machines = len({choice.machine.index for choice in chosen})
     loads = [choice.load for choice in chosen]
-    dearest = max(chosen, key=lambda choice: choice.cost.fetch_s)
+    max_fetch_s = max(choice.cost.fetch_s for choice in chosen)
     return (
-        f"{len(chosen)} tasks on {machines} machines, {holding} where the image is, "
-        f"longest fetch {dearest.cost.fetch_s:.1f} s, load then {min(loads):.2f} to {max(loads):.2f}"
+        f"tasks={len(chosen)} machines={machines} with_image={holding} max_fetch_s={max_fetch_s:.1f} "
+        f"min_load={min(loads):.2f} max_load={max(loads):.2f}"
     )
