--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -100,7 +100,7 @@
         if any(machine.has_room(spec) for machine in allowed_machines):
             return None  # it fits as it is and is about to be placed
         state.balance_tried += 1
-        room = (spec.cpus, spec.gpus, spec.mem_gb)
+        demand = (spec.cpus, spec.gpus, spec.mem_gb)
         counts = tempered.Counts(state.policy.balance_trials, state.policy.balance_iterations, max_moves)
 
         def allowed(key: AttemptKey, target: int) -> bool:
@@ -111,14 +111,14 @@
             return self.may_move(key, target)
 
         best: tempered.Plan | None = None
-        for source in self._sources(job, room, allowed_machines, hosts):
-            plan = tempered.free_room(list(hosts.values()), source, room, counts, allowed, state.rng)
+        for source in self._sources(job, demand, allowed_machines, hosts):
+            plan = tempered.free_room(list(hosts.values()), source, demand, counts, allowed, state.rng)
             if plan is not None and (best is None or plan.imbalance < best.imbalance):
                 best = plan
         return best
 
     def _sources(
-        self, job: Job, room: tempered.Room, machines: list[Machine], hosts: dict[int, tempered.Host]
+        self, job: Job, demand: tempered.Resources, machines: list[Machine], hosts: dict[int, tempered.Host]
     ) -> list[int]:
         """The machines where migrations may free the room, those that lack the fewest CPUs first."""
         ranked = []
@@ -126,10 +126,10 @@
             host = hosts.get(machine.index)
             if host is None or not host.items:
                 continue
-            without_items = host.free
+            room = host.free
             for item in host.items:
-                without_items = tempered.add(without_items, item.need)
-            if tempered.fits(room, without_items):
+                room = tempered.add(room, item.demand)
+            if tempered.fits(demand, room):
                 ranked.append((job.spec.cpus - machine.free_cpus, machine.index))
         return [index for _, index in sorted(ranked)[: self._state.policy.balance_sources]]
 
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -169,27 +169,31 @@
         by_target: dict[int, list[Migration]] = {}
         for relocation in plan.relocations:
             placement = state.machines[relocation.source].open[relocation.key]
-            moves = by_target.setdefault(relocation.target, [])
-            if not moves or moves[0].placement.job is placement.job:
-                moves.append(Migration(placement, relocation.target, now))
-        for target, moves in by_target.items():
-            self._migrator.keep_room(target, moves[0].placement.job, [move.placement for move in moves])
-            for move in moves:
-                self._log_migration(move, plan, known)
-            self._migrator.move(moves)
-
-    def _log_migration(self, move: Migration, plan: Rebalancing, known: dict[int, MachineSnapshot]) -> None:
+            migrations = by_target.setdefault(relocation.target, [])
+            if not migrations or migrations[0].placement.job is placement.job:
+                migrations.append(Migration(placement, relocation.target, now))
+        for target, migrations in by_target.items():
+            self._migrator.keep_room(
+                target, migrations[0].placement.job, [migration.placement for migration in migrations]
+            )
+            for migration in migrations:
+                self._log_migration(migration, plan, known)
+            self._migrator.move(migrations)
+
+    def _log_migration(
+        self, migration: Migration, plan: Rebalancing, known: dict[int, MachineSnapshot]
+    ) -> None:
         state = self._state
-        job = move.placement.job
-        used = state.restarts.used(job.spec.id, move.placement.task)
+        job = migration.placement.job
+        used = state.restarts.used(job.spec.id, migration.placement.task)
         log.info(
             "migrating: task=%s source=%s (%s) target=%s (%s) imbalance_before=%.2f imbalance_after=%.2f "
             "restart=%d max_restarts=%d",
-            move.placement.task_id,
-            state.machine_names[move.placement.machine],
-            known[move.placement.machine].describe(),
-            state.machine_names[move.target],
-            known[move.target].describe(),
+            migration.placement.task_id,
+            state.machine_names[migration.placement.machine],
+            known[migration.placement.machine].describe(),
+            state.machine_names[migration.target],
+            known[migration.target].describe(),
             plan.before,
             plan.after,
             used + 1,
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -10,6 +10,7 @@
 from bayford.coordination.leader.commit_batch import Migration
 from bayford.coordination.leader.leader_events import LeaderListener
 from bayford.coordination.leader.leader_state import ROOM_KEPT_S, LeaderState
+from bayford.scheduling import preemption
 from bayford.scheduling.model import Job, Placement
 
 log = logging.getLogger(__name__)
@@ -30,46 +31,45 @@
             job.spec.id, job.spec.job_class, task
         )
 
-    def move(self, moves: Sequence[Migration]) -> None:
+    def move(self, migrations: Sequence[Migration]) -> None:
         """Have tasks go on elsewhere, at once or when their counts are durable."""
         state = self._state
         if not state.policy.spread:
-            self.begin(moves)
+            self.begin(migrations)
             return
-        for move in moves:
-            job = move.placement.job
-            state.restarts.note(job.spec.id, move.placement.task)
-            state.uncounted_migrations.setdefault(job.spec.id, []).append(move)
+        for migration in migrations:
+            job = migration.placement.job
+            state.restarts.note(job.spec.id, migration.placement.task)
+            state.uncounted_migrations.setdefault(job.spec.id, []).append(migration)
 
     def on_migrations_counted(self, migrations: Sequence[Migration]) -> None:
         """See `LeaderListener`."""
         self.begin(migrations)
 
-    def begin(self, moves: Sequence[Migration]) -> None:
+    def begin(self, migrations: Sequence[Migration]) -> None:
         """Stop the tasks, as far as the migrations still make sense."""
-        for move in moves:
-            obstacle = self._obstacle(move)
+        for migration in migrations:
+            obstacle = self._obstacle(migration)
             if obstacle:
-                log.info("migration dropped: task=%s reason=%s", move.placement.task_id, obstacle)
+                log.info("migration dropped: task=%s reason=%s", migration.placement.task_id, obstacle)
                 continue
-            job = move.placement.job
-            job.hints[move.placement.task] = move.target
-            saves = job.spec.checkpoint_interval_s > 0
-            self._state.stop(move.placement, job.spec.checkpoint_grace_s if saves else 0.0)
+            job = migration.placement.job
+            job.hints[migration.placement.task] = migration.target
+            self._state.stop(migration.placement, preemption.stop_grace_s(job.spec))
             self._state.moves += 1
 
-    def _obstacle(self, move: Migration) -> str:
+    def _obstacle(self, migration: Migration) -> str:
         """Why the migration can't begin any more, empty if it can."""
         state = self._state
-        placement = move.placement
+        placement = migration.placement
         if placement.job.open.get(placement.task) is not placement:
             return "the task has ended or its machine is gone"
         if placement.stopping or placement.job.cancelled:
             return "the task is being stopped"
-        target = state.machines.get(move.target)
+        target = state.machines.get(migration.target)
         if target is None or not target.usable:
             return "the target takes no work any more"
-        if state.clock() - move.decided_at > MAX_DECISION_AGE_S:
+        if state.clock() - migration.decided_at > MAX_DECISION_AGE_S:
             return "its restart count took too long to be written"
         return ""
 
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -59,11 +59,6 @@
     placement: Placement
 
 
-def _grace_s(job: Job) -> float:
-    """How long a stopped task of the job is given to save its progress."""
-    return job.spec.checkpoint_grace_s if job.spec.checkpoint_interval_s > 0 else 0.0
-
-
 class Preemptor:
     """Stops running tasks for waiting ones. Called under the lock of the leader's state."""
 
@@ -167,7 +162,7 @@
             for victim in victims:
                 victim.job.note_preemption(victim.placement.task)
                 search.quotas[victim.job.team].release(victim.job.spec)
-                state.stop(victim.placement, _grace_s(victim.job))
+                state.stop(victim.placement, preemption.stop_grace_s(victim.job.spec))
                 search.preemptions_left -= 1
             log.info(
                 "preempting: job=%s machine=%s victims=%s",
@@ -274,7 +269,7 @@
             job = victim.placement.job
             if (cpus > EPS and job.spec.cpus > 0) or (gpus > EPS and job.spec.gpus > 0):
                 cpus, gpus = cpus - job.spec.cpus, gpus - job.spec.gpus
-                self._state.stop(victim.placement, _grace_s(job))
+                self._state.stop(victim.placement, preemption.stop_grace_s(job.spec))
                 stopped += 1
         if stopped:
             log.info("preempting under the team's limit: job=%s victims=%d", service.spec.id, stopped)
--- a/bayford/coordination/leader/service_capacity.py
+++ b/bayford/coordination/leader/service_capacity.py
@@ -34,7 +34,9 @@
             service_pools.append(pools)
             with_reserve = job.spec.tasks * (1.0 + self._state.policy.service_share)
             self._add_replicas(counts, pools, job.spec, with_reserve)
-        boot_s = min((kind.boot_s for kind in self._state.types if kind.zones), default=0.0)
+        boot_s = min(
+            (machine_type.boot_s for machine_type in self._state.types if machine_type.zones), default=0.0
+        )
         for job in self._recent_services(now, boot_s):
             self._add_replicas(counts, pools_for(self._state, job), job.spec, job.spec.tasks)
         if self._state.service_classes or service_pools:
@@ -78,8 +80,8 @@
         state = self._state
         return frozenset(
             MachinePool(type_index, state.zones.index(zone), False)
-            for type_index, kind in enumerate(state.types)
-            for zone in kind.zones
+            for type_index, machine_type in enumerate(state.types)
+            for zone in machine_type.zones
             if state.zones.index(zone) not in state.closed_zones
         )
 
--- a/bayford/scheduling/capacity_index.py
+++ b/bayford/scheduling/capacity_index.py
@@ -1,8 +1,8 @@
 """Machines with free capacity, indexed: the best ones for a job are found without a search of the fleet.
 
 The order is that of `placement_rules.score`: machines that hold the image, then those that fetch it, then the
-rest; in each, spot before on-demand ones, the fullest first, the lowest number first. Machines alike in type,
-zone, kind and free CPUs lie in one bucket, in the order of their numbers; a search goes through the buckets
+rest; in each, spot before on-demand ones, the fullest first, the lowest number first. Machines of one pool
+with the same free CPUs lie in one bucket, in the order of their numbers; a search goes through the buckets
 in the order of the score and stops when it has enough. Pure: no clock, no I/O.
 """
 
--- a/bayford/scheduling/preemption.py
+++ b/bayford/scheduling/preemption.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from bayford.scheduling.model import EPS, Job, Machine, Placement
+from bayford.scheduling.model import EPS, Job, JobSpec, Machine, Placement
 from bayford.scheduling.quota import TeamQuota
 
 # Weights of `delay_cost`, in expected run times of the task.
@@ -54,6 +54,11 @@
     return unmet_guarantee and waiting.team != running.team and quotas[running.team].exceeds_guarantee
 
 
+def stop_grace_s(spec: JobSpec) -> float:
+    """How long a task that is stopped is given to save its progress, 0 if it saves none."""
+    return spec.checkpoint_grace_s if spec.checkpoint_interval_s > 0 else 0.0
+
+
 def lost_work(job: Job, placement: Placement, now: float, expected_s: float) -> float:
     """Seconds of work lost by stopping now; a task close to its end is a poor victim, so that adds.
 
--- a/bayford/scheduling/scaling.py
+++ b/bayford/scheduling/scaling.py
@@ -156,10 +156,10 @@
     """The pool that serves a task at the lowest price, a long boot counted as a higher one."""
 
     def cost(pool: MachinePool) -> tuple[float, int, int, bool]:
-        kind = types[pool.type]
-        price = kind.spot_price if pool.spot else kind.price
-        per_task = price / demand.slots_on(kind)
-        return (per_task * (1.0 + kind.boot_s / BOOT_COST_S), pool.type, pool.zone, pool.spot)
+        machine_type = types[pool.type]
+        price = machine_type.spot_price if pool.spot else machine_type.price
+        per_task = price / demand.slots_on(machine_type)
+        return (per_task * (1.0 + machine_type.boot_s / BOOT_COST_S), pool.type, pool.zone, pool.spot)
 
     suitable = [
         pool
@@ -210,9 +210,9 @@
     without `zone_cpus` that which boots soonest."""
 
     def rank(pool: MachinePool) -> tuple[float, ...]:
-        kind = types[pool.type]
-        second = kind.boot_s if zone_cpus is None else zone_cpus[pool.zone]
-        return (round(kind.price * group.machines[pool.type], 6), second, pool.type, pool.zone)
+        machine_type = types[pool.type]
+        second = machine_type.boot_s if zone_cpus is None else zone_cpus[pool.zone]
+        return (round(machine_type.price * group.machines[pool.type], 6), second, pool.type, pool.zone)
 
     return min(pools, key=rank)
 
--- a/bayford/scheduling/tempered.py
+++ b/bayford/scheduling/tempered.py
@@ -12,15 +12,15 @@
 
 from bayford.scheduling.model import EPS
 
-Room = tuple[float, float, float]  # cpus, gpus, mem_gb
+Resources = tuple[float, float, float]  # CPUs, GPUs, GB of memory
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """A task that may move, with what it takes."""
+    """A task that may move, and what it uses."""
 
-    key: tuple[str, int]
-    need: Room
+    key: tuple[str, int]  # task name and attempt
+    demand: Resources
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
 
     index: int
     cpus: float
-    free: Room
+    free: Resources
     items: list[Item] = field(default_factory=list)
 
     @property
@@ -39,7 +39,7 @@
 
     def share(self, item: Item) -> float:
         """The load that the task is, or would be, here."""
-        return item.need[0] / self.cpus if self.cpus > 0 else 1.0
+        return item.demand[0] / self.cpus if self.cpus > 0 else 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,19 +71,19 @@
 Allowed = Callable[[tuple[str, int], int], bool]  # whether this task may run on that machine
 
 
-def add(a: Room, b: Room) -> Room:
+def add(a: Resources, b: Resources) -> Resources:
     """Component-wise sum."""
     return (a[0] + b[0], a[1] + b[1], a[2] + b[2])
 
 
-def sub(a: Room, b: Room) -> Room:
+def sub(a: Resources, b: Resources) -> Resources:
     """Component-wise difference."""
     return (a[0] - b[0], a[1] - b[1], a[2] - b[2])
 
 
-def fits(need: Room, free: Room) -> bool:
+def fits(demand: Resources, free: Resources) -> bool:
     """Whether every resource fits."""
-    return need[0] <= free[0] + EPS and need[1] <= free[1] + EPS and need[2] <= free[2] + EPS
+    return demand[0] <= free[0] + EPS and demand[1] <= free[1] + EPS and demand[2] <= free[2] + EPS
 
 
 def imbalance(loads: Iterable[float]) -> float:
@@ -165,11 +165,11 @@
         target = others[sample(cmf, rng)]
         if (
             criterion(target.share(item), source.load, target.load)
-            and fits(item.need, target.free)
+            and fits(item.demand, target.free)
             and allowed(item.key, target.index)
         ):
-            target.free = sub(target.free, item.need)
-            source.free = add(source.free, item.need)
+            target.free = sub(target.free, item.demand)
+            source.free = add(source.free, item.demand)
             source.items = [i for i in source.items if i is not item]
             target.items = [*target.items, item]
             moves.append(Move(item.key, target.index))
@@ -182,13 +182,18 @@
 
 
 def free_room(
-    hosts: Sequence[Host], source: int, need: Room, counts: Counts, allowed: Allowed, rng: random.Random
+    hosts: Sequence[Host],
+    source: int,
+    demand: Resources,
+    counts: Counts,
+    allowed: Allowed,
+    rng: random.Random,
 ) -> Plan | None:
     """Algorithm 3: several trials of iterations from the same state; the best imbalance of those that
     free the room is the plan. None: no trial freed it."""
 
     def has_room(host: Host) -> bool:
-        return fits(need, host.free)
+        return fits(demand, host.free)
 
     best: Plan | None = None
     for _ in range(counts.trials):
@@ -198,7 +203,9 @@
         moves: list[Move] = []
         for _ in range(counts.iterations):
             excess = (
-                max(0.0, (need[0] - source_host.free[0]) / source_host.cpus) if source_host.cpus > 0 else 0.0
+                max(0.0, (demand[0] - source_host.free[0]) / source_host.cpus)
+                if source_host.cpus > 0
+                else 0.0
             )
             moves += transfer(source_host, others, excess, has_room, counts.moves - len(moves), allowed, rng)
             if has_room(source_host):
