--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -18,11 +18,11 @@
     decode_sample,
     encode_sample,
 )
-from bayford.coordination.leader.autoscaler import ScalingActions
 from bayford.coordination.leader.cloud_operations import CloudOperations
 from bayford.coordination.leader.commit_batch import CommitBatch
 from bayford.coordination.leader.leader_events import LeaderListener
 from bayford.coordination.leader.recovered_state import RecoveredState
+from bayford.coordination.leader.scaling_actions import ScalingActions
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.leadership import transfer
 from bayford.coordination.leadership.membership import Membership
--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from bayford.coordination.leader.autoscaler import LaunchRequest, ScalingActions
+from bayford.coordination.leader.scaling_actions import LaunchRequest, ScalingActions
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.token_bucket import TokenBucket
 from bayford.protocol.cloud_api import Cloud, CloudBusyError, Listed, NoCapacityError
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -166,10 +166,21 @@
 def test_fleet_prefers_spot_remembers_refusals_and_takes_on_demand_machines_only_in_need():
     types = World(1).catalog()
     spot, on_demand = scaling.MachinePool(0, 0, True), scaling.MachinePool(0, 0, False)
-    need = scaling.Demand(frozenset({spot, on_demand}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
+    need = scaling.Demand(
+        pools=frozenset({spot, on_demand}),
+        tasks=8,
+        cpus=1.0,
+        gpus=0.0,
+        mem_gb=1.0,
+        run_s=20.0,
+        urgent=False,
+        on_demand=0,
+        host_cpus=640.0,
+        spot_cpus=640.0,
+    )
 
     def ask(need, refused=(), spare=None, yields=0.0, busy=50.0):
-        need = dataclasses.replace(need, yielded=yields)
+        need = dataclasses.replace(need, preemptible_cpus=yields)
         got = scaling.plan_launches([need], types, spare or {}, frozenset(refused), busy, 1e9, 2.0)
         return [(r.pool, r.count) for r in got]
 
@@ -180,9 +191,31 @@
     alone = dataclasses.replace(need, spot_cpus=0.0)
     assert ask(alone) == [(spot, 2)]
     assert ask(alone, refused=[spot]) == [(on_demand, 2)], "no cheap one is there nor to be had"
-    late = scaling.Demand(need.pools, 8, 1.0, 0.0, 1.0, 20.0, False, 3, 640.0, 640.0)
+    late = scaling.Demand(
+        pools=need.pools,
+        tasks=8,
+        cpus=1.0,
+        gpus=0.0,
+        mem_gb=1.0,
+        run_s=20.0,
+        urgent=False,
+        on_demand=3,
+        host_cpus=640.0,
+        spot_cpus=640.0,
+    )
     assert ask(late, refused=[spot]) == [(on_demand, 1)], "only as many as are worth it"
-    urgent = scaling.Demand(need.pools, 8, 1.0, 0.0, 1.0, 20.0, True, 0, 640.0, 640.0)
+    urgent = scaling.Demand(
+        pools=need.pools,
+        tasks=8,
+        cpus=1.0,
+        gpus=0.0,
+        mem_gb=1.0,
+        run_s=20.0,
+        urgent=True,
+        on_demand=0,
+        host_cpus=640.0,
+        spot_cpus=640.0,
+    )
     assert ask(urgent, refused=[spot]) == [(on_demand, 2)]
     assert ask(urgent, refused=[spot], yields=8.0) == [], "it may push out what yields"
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -374,7 +374,9 @@
     deleted_machines = [
         m for m in scheduler.state.machines.values() if m.zone not in scheduler.state.returning_zones
     ]
-    present = [(scaling.MachinePool(m.type, m.zone, m.spot), m) for m in deleted_machines]
+    present = [
+        scaling.PooledMachine(scaling.MachinePool(m.type, m.zone, m.spot), m) for m in deleted_machines
+    ]
     south, north = (
         scaling.MachinePool(0, scheduler.state.zones.find(name), True) for name in ("south", "north")
     )
@@ -385,7 +387,10 @@
     scheduler.state.verified_machines = frozenset(
         {next(m.index for m in scheduler.state.machines.values() if m not in deleted_machines)}
     )
-    present += [(south, scheduler.state.machines[index]) for index in scheduler.state.verified_machines]
+    present += [
+        scaling.PooledMachine(south, scheduler.state.machines[index])
+        for index in scheduler.state.verified_machines
+    ]
     assert [r.count for r in scheduler.autoscaler._paced(wanted, present)] == [20, 20]
 
     scheduler.state.verified_machines = frozenset()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,9 +11,9 @@
 from world import Attempt, World
 
 from bayford.config import Settings
-from bayford.coordination.leader.autoscaler import Deletion, LaunchRequest, ScalingActions
 from bayford.coordination.leader.cloud_operations import LEADER_SHARE, LIST_SHARE, CloudOperations
 from bayford.coordination.leader.recovered_state import RecoveredState
+from bayford.coordination.leader.scaling_actions import Deletion, LaunchRequest, ScalingActions
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.workers.relay import heartbeats_in
 from bayford.protocol import workers
@@ -187,7 +187,7 @@
     scheduler, calls = leader_with_cloud(cloud, World().settings("n0"))
     commands = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
     for order in commands:
-        scheduler.autoscaler._asked_for(scheduler.autoscaler._pool(order), order.count)
+        scheduler.autoscaler._add_launching(scheduler.autoscaler._pool(order), order.count)
     calls.carry_out(ScalingActions(commands, [Deletion("vm-000001", "idle")]))
     assert calls.delete(["vm-000001"])
     waiting = sum(scheduler.state.launching.values())
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -362,12 +362,14 @@
     order = sorted([free, busy, has], key=lambda m: placement_rules.replica_rank(job, m, {}, 4.0, 6.0))
     assert [m.name for m in order] == ["has", "free", "busy"]
     has.last_heartbeat_at = 100.0
-    assert placement_rules.steady(has, 101.0, 5.0) and not placement_rules.steady(has, 106.0, 5.0), (
+    assert placement_rules.is_stable(has, 101.0, 5.0) and not placement_rules.is_stable(has, 106.0, 5.0), (
         "not if silent"
     )
     has.failed_at = 95.0
-    assert not placement_rules.steady(has, 101.0, 5.0), "nor where something has just failed"
-    assert placement_rules.steady(has, 101.0 + placement_rules.DOUBT_S, 500.0), "but that is forgotten"
+    assert not placement_rules.is_stable(has, 101.0, 5.0), "nor where something has just failed"
+    assert placement_rules.is_stable(has, 101.0 + placement_rules.FAILURE_MEMORY_S, 500.0), (
+        "but that is forgotten"
+    )
 
 
 def test_the_balancer_moves_a_replica_for_no_lesser_work_and_only_to_its_image():
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -14,7 +14,7 @@
 from bayford.scheduling.model import Machine, MachineType, Placement
 from bayford.scheduling.policy import Policy
 from bayford.scheduling.tempered import Counts, Host, Item
-from bayford.spread.machine_snapshot import picture
+from bayford.spread.machine_snapshot import snapshot_of
 from bayford.spread.rebalance import Rebalancing, Relocation, rebalance
 from bayford.spread.restarts import RestartBudget, UnreadableCountsError
 from bayford.spread.score import Chooser, Weights, rendezvous
@@ -154,7 +154,7 @@
     by_index = {host.index: host for host in fleet}
     for relocation in plan.relocations:
         source, target = by_index[relocation.source], by_index[relocation.target]
-        need = next(item.need for item in before[source.index][1] if item.key == relocation.key)
+        need = next(item.demand for item in before[source.index][1] if item.key == relocation.key)
         assert tempered.criterion(need[0] / target.cpus, loads[source.index], loads[target.index])
         assert tempered.fits(need, target.free)
         target.free, source.free = tempered.sub(target.free, need), tempered.add(source.free, need)
@@ -186,8 +186,8 @@
             source.items.remove(item)
             target.items.append(item)
             source.free, target.free = (
-                tempered.add(source.free, item.need),
-                tempered.sub(target.free, item.need),
+                tempered.add(source.free, item.demand),
+                tempered.sub(target.free, item.demand),
             )
     else:
         pytest.fail("moves go on for ever")
@@ -315,7 +315,7 @@
 
 def test_leaders_that_follow_one_another_restart_no_task_more_often_than_allowed(caplog):
     cluster = uneven(nodes=3)
-    with caplog.at_level("INFO", logger="bayford.spread"):
+    with caplog.at_level("INFO", logger="bayford.coordination.leader.load_spreader"):
         for _ in range(8):
             wait(cluster, 40.0, fleet=False)
             cluster.boot(cluster.leader() or "n0")
@@ -329,7 +329,7 @@
                 worker.epoch += 1
             wait(cluster, 4.0, fleet=False)
             scheduler.state.policy = SPREAD
-    moved = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("moving ")]
+    moved = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("migrating: ")]
     assert moved and len(set(moved)) == len(moved), "each task once, whoever the owner is"
 
 
@@ -413,7 +413,7 @@
     target = next(machine for machine in scheduler.state.machines.values() if not machine.open)
     keys = [next(k for k, p in source.open.items() if p.job.spec.id == f"req-00000{n}") for n in (1, 2)]
     moves = tuple(Relocation(key, source.index, target.index) for key in keys)
-    known = {m.index: picture(m, cluster.clock.now) for m in (source, target)}
+    known = {m.index: snapshot_of(m, cluster.clock.now) for m in (source, target)}
     scheduler.scheduling.spreader._carry_out(Rebalancing(moves, 1.0, 0.5), known, cluster.clock.now)
     assert list(scheduler.state.uncounted_migrations) == ["req-000001"]
     first, second = scheduler.state.jobs["req-000001"], scheduler.state.jobs["req-000002"]
@@ -445,7 +445,7 @@
 def test_a_machine_that_only_looks_idle_takes_no_moved_work(looks):
     machine = idle_machines(1)[0]
     machine.registered, machine.last_heartbeat_at = True, 100.0
-    assert picture(machine, 101.0).accepts(5.0)
+    assert snapshot_of(machine, 101.0).accepts(5.0)
     change = {
         "noticed": {"reclaim_at": 130.0},
         "silent": {"last_heartbeat_at": 90.0},
@@ -456,7 +456,7 @@
     }[looks]
     for name, value in change.items():
         setattr(machine, name, value)
-    assert not picture(machine, 101.0).accepts(5.0)
+    assert not snapshot_of(machine, 101.0).accepts(5.0)
 
 
 def test_a_hint_counts_although_the_image_is_on_many_machines():
@@ -490,7 +490,7 @@
     cluster = uneven()
     stranger = cluster.machine()
     stranger.kind = MachineType("odd", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north",))
-    with caplog.at_level("ERROR", logger="bayford.spread"):
+    with caplog.at_level("ERROR", logger="bayford.coordination.leader.load_spreader"):
         wait(cluster, 40.0, fleet=False)
     named = [r for r in caplog.records if stranger.name in r.getMessage() and "catalog" in r.getMessage()]
     assert len(named) == 1 and stranger.running() == []
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -6,8 +6,8 @@
 
 from bayford.clock import NEVER
 from bayford.coordination.controller import Controller
-from bayford.coordination.leader.autoscaler import LaunchRequest
 from bayford.coordination.leader.leader_state import LeaderState
+from bayford.coordination.leader.scaling_actions import LaunchRequest
 from bayford.protocol.cloud_api import NoCapacityError
 from bayford.storage import records
 from bayford.storage.counting_store import CountingStore
@@ -903,7 +903,7 @@
     # Together with the unfinished one the next job of blue is beyond 4 CPUs, though less work is left in it.
     w.submit("n0", w.job(2, crew="blue", parts=1, guess_s=1.0))
     w.submit("n0", w.job(3, crew="red", parts=4, guess_s=60.0))
-    assert w.nodes["n0"].scheduler.scheduling._within_guarantee() == {"req-000001", "req-000003"}
+    assert w.nodes["n0"].scheduler.scheduling.queue.jobs_within_guarantee() == {"req-000001", "req-000003"}
     w.finish("req-000001/0")
     wait(w, 2.0, fleet=False)
     assert "req-000003/0" in running(w) and "req-000002/0" not in running(w)
--- a/tests/test_tempered.py
+++ b/tests/test_tempered.py
@@ -44,11 +44,11 @@
 
 def test_fewest_migrations_order():
     items = [Item((f"t{n}", 1), (c, 0.0, 0.0)) for n, c in enumerate([1, 5, 3, 2, 8])]
-    loads = [i.need[0] for i in tempered.order_fewest(items, lambda i: i.need[0], 2.5)]
+    loads = [i.demand[0] for i in tempered.order_fewest(items, lambda i: i.demand[0], 2.5)]
     assert loads == [3, 2, 1, 5, 8], "smallest that suffices, lighter falling, heavier rising"
-    loads = [i.need[0] for i in tempered.order_fewest(items, lambda i: i.need[0], 9.0)]
+    loads = [i.demand[0] for i in tempered.order_fewest(items, lambda i: i.demand[0], 9.0)]
     assert loads == [8, 5, 3, 2, 1], "none suffices: falling"
-    loads = [i.need[0] for i in tempered.order_fewest(items, lambda i: i.need[0], 5.0)]
+    loads = [i.demand[0] for i in tempered.order_fewest(items, lambda i: i.demand[0], 5.0)]
     assert loads[0] == 5, "exactly the needed room suffices"
 
 
