--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -43,14 +43,6 @@
     unmet_guarantee: int  # of these, within the team's guarantee
 
 
-class _Option(NamedTuple):
-    """Stops on one machine that make room for one task. Options are compared by cost, then machine."""
-
-    cost: float
-    machine: int
-    victims: list[preemption.Victim]
-
-
 class _TeamVictim(NamedTuple):
     """A task that may be stopped for a service of its own team, and its rank: the smallest is stopped
     first."""
@@ -171,30 +163,34 @@
                 [victim.placement.task_id for victim in victims],
             )
 
-    def _options(self, waiting: Job, search: _Search, unmet_guarantee: bool) -> list[_Option]:
+    def _options(
+        self, waiting: Job, search: _Search, unmet_guarantee: bool
+    ) -> list[preemption.PreemptionOption]:
         """The stops that would make room for one task, machine by machine, the least costly first."""
         state = self._state
+        now = search.now
         zone_counts = placement_rules.placements_by_zone(waiting, state.zone_of)
         max_silence_s = state.quiet_s
-        options: list[_Option] = []
-        candidates = placement_rules.candidates(waiting, search.machines, zone_counts, search.now)
+        skip_ending = waiting.spec.priority < URGENT  # let tasks that end soon do so
+        options: list[preemption.PreemptionOption] = []
+        candidates = placement_rules.candidates(waiting, search.machines, zone_counts, now)
         for machine in self._window(candidates):
-            if waiting.is_service and not placement_rules.is_stable(machine, search.now, max_silence_s):
+            if waiting.is_service and not placement_rules.is_stable(machine, now, max_silence_s):
                 continue
             victims = [
                 preemption.Victim(placement.job, placement, self._loss(placement, search))
                 for placement in machine.open.values()
                 if not placement.unpreemptable
                 and preemption.may_stop(waiting, placement.job, search.quotas, unmet_guarantee)
-                and not (waiting.spec.priority < URGENT and self._ends_soon(placement, search.now))
+                and not (skip_ending and self._ends_soon(placement, now))
             ]
             if not victims:
                 continue
-            choice = preemption.victims_on(machine, waiting, victims, MAX_STOPS_PER_MACHINE)
-            if choice is not None:
-                cost = self._cost_on(machine, waiting, choice.loss)
-                options.append(_Option(cost, machine.index, choice.victims))
-        options.sort(key=lambda option: option[:2])
+            option = preemption.victims_on(machine, waiting, victims, MAX_STOPS_PER_MACHINE)
+            if option is not None:
+                option.cost = self._cost_on(machine, waiting, option.cost)
+                options.append(option)
+        options.sort(key=lambda option: (option.cost, option.machine))
         return options
 
     def _window(self, machines: list[Machine]) -> list[Machine]:
--- a/bayford/scheduling/preemption.py
+++ b/bayford/scheduling/preemption.py
@@ -7,7 +7,6 @@
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import NamedTuple
 
 from bayford.scheduling.model import EPS, Job, JobSpec, Machine, Placement
 from bayford.scheduling.quota import TeamQuota
@@ -29,11 +28,13 @@
     loss: float
 
 
-class Victims(NamedTuple):
-    """The tasks to stop on one machine, and the CPU seconds of work that their stops throw away."""
+@dataclass(slots=True)
+class PreemptionOption:
+    """Tasks to stop on one machine, which makes room for one waiting task."""
 
+    machine: int
     victims: list[Victim]
-    loss: float
+    cost: float  # CPU seconds: the work that the stops throw away, and what the preemptor adds
 
 
 def may_stop(waiting: Job, running: Job, quotas: list[TeamQuota], unmet_guarantee: bool) -> bool:
@@ -100,25 +101,22 @@
 
 def victims_on(
     machine: Machine, waiting: Job, candidates: Iterable[Victim], max_stops: int
-) -> Victims | None:
+) -> PreemptionOption | None:
     """The stops on this machine that make room for one task of `waiting` and lose least, or None where at
     most `max_stops` of them make none, or none are needed."""
     spec = waiting.spec
     cpus, gpus, mem_gb = machine.free_cpus, machine.free_gpus, machine.free_mem
-
-    def has_room() -> bool:
-        return cpus + EPS >= spec.cpus and gpus + EPS >= spec.gpus and mem_gb + EPS >= spec.mem_gb
-
+    remaining = iter(sorted(candidates, key=lambda victim: victim.loss / max(victim.job.spec.cpus, 0.1)))
     chosen: list[Victim] = []
     loss = 0.0
-    for victim in sorted(candidates, key=lambda victim: victim.loss / max(victim.job.spec.cpus, 0.1)):
-        if has_room():
-            break
-        if len(chosen) == max_stops:
+    while not (cpus + EPS >= spec.cpus and gpus + EPS >= spec.gpus and mem_gb + EPS >= spec.mem_gb):
+        victim = next(remaining, None)
+        if victim is None or len(chosen) == max_stops:
             return None
+        victim_spec = victim.job.spec
         chosen.append(victim)
-        loss += victim.loss * victim.job.spec.cpus
-        cpus += victim.job.spec.cpus
-        gpus += victim.job.spec.gpus
-        mem_gb += victim.job.spec.mem_gb
-    return Victims(chosen, loss) if chosen and has_room() else None
+        loss += victim.loss * victim_spec.cpus
+        cpus += victim_spec.cpus
+        gpus += victim_spec.gpus
+        mem_gb += victim_spec.mem_gb
+    return PreemptionOption(machine.index, chosen, loss) if chosen else None
