--- a/bayford/coordination/leader/scaling_loop.py
+++ b/bayford/coordination/leader/scaling_loop.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from bayford.coordination.leader.autoscaler import ScalingActions
 from bayford.coordination.leader.cloud_operations import CloudOperations
+from bayford.coordination.leader.scaling_actions import ScalingActions
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.leadership.connectivity import Connectivity
 from bayford.coordination.leadership.peers import Peers
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -18,7 +18,7 @@
 from bayford.clock import NEVER
 from bayford.config import Settings
 from bayford.coordination.leader import workload
-from bayford.coordination.leader.autoscaler import Autoscaler, LaunchRequest, ScalingActions
+from bayford.coordination.leader.autoscaler import Autoscaler
 from bayford.coordination.leader.commit_batch import CommitBatch
 from bayford.coordination.leader.group_commit import GroupCommit
 from bayford.coordination.leader.heartbeat_handler import HeartbeatHandler
@@ -26,6 +26,7 @@
 from bayford.coordination.leader.leader_events import LeaderListener
 from bayford.coordination.leader.leader_state import LeaderState, TaskLogSource
 from bayford.coordination.leader.recovered_state import RecoveredState
+from bayford.coordination.leader.scaling_actions import LaunchRequest, ScalingActions
 from bayford.coordination.leader.scheduling_round import SchedulingRound
 from bayford.coordination.leader.worker_commands import DirectCommands, PendingCommands, WorkerCommands
 from bayford.coordination.leader.zone_monitor import ZoneMonitor
--- a/bayford/scheduling/tempered.py
+++ b/bayford/scheduling/tempered.py
@@ -12,34 +12,34 @@
 
 from bayford.scheduling.model import EPS
 
-Room = tuple[float, float, float]  # cpus, gpus, mem_gb
+Resources = tuple[float, float, float]  # CPUs, GPUs, GB of memory
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """A task that may move, with what it takes."""
+    """A task that may move, and what it uses."""
 
-    key: tuple[str, int]
-    need: Room
+    key: tuple[str, int]  # task name and attempt
+    demand: Resources
 
 
 @dataclass(slots=True)
 class Host:
-    """A machine in the snapshot, as late as the snapshot is."""
+    """A machine in a snapshot of the fleet, as old as the snapshot is."""
 
     index: int
     cpus: float
-    free: Room
+    free: Resources
     items: list[Item] = field(default_factory=list)
 
     @property
     def load(self) -> float:
-        """Booked share of the CPUs, the design's starting measure of load."""
+        """Reserved share of the CPUs, the design's starting measure of load."""
         return 1.0 - self.free[0] / self.cpus if self.cpus > 0 else 1.0
 
     def share(self, item: Item) -> float:
         """The load that the task is, or would be, here."""
-        return item.need[0] / self.cpus if self.cpus > 0 else 1.0
+        return item.demand[0] / self.cpus if self.cpus > 0 else 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,29 +68,29 @@
     moves: int = 1
 
 
-Allowed = Callable[[tuple[str, int], int], bool]  # may this task run on that machine
+Allowed = Callable[[tuple[str, int], int], bool]  # whether this task may run on that machine
 
 
-def add(a: Room, b: Room) -> Room:
+def add(a: Resources, b: Resources) -> Resources:
     """Component-wise sum."""
     return (a[0] + b[0], a[1] + b[1], a[2] + b[2])
 
 
-def sub(a: Room, b: Room) -> Room:
+def sub(a: Resources, b: Resources) -> Resources:
     """Component-wise difference."""
     return (a[0] - b[0], a[1] - b[1], a[2] - b[2])
 
 
-def fits(need: Room, free: Room) -> bool:
+def fits(demand: Resources, free: Resources) -> bool:
     """Whether every resource fits."""
-    return need[0] <= free[0] + EPS and need[1] <= free[1] + EPS and need[2] <= free[2] + EPS
+    return demand[0] <= free[0] + EPS and demand[1] <= free[1] + EPS and demand[2] <= free[2] + EPS
 
 
 def imbalance(loads: Iterable[float]) -> float:
     """Equation 1: highest load over average load, minus 1."""
-    found = list(loads)
-    average = sum(found) / len(found) if found else 0.0
-    return max(found) / average - 1.0 if average > 0 else 0.0
+    values = list(loads)
+    average = sum(values) / len(values) if values else 0.0
+    return max(values) / average - 1.0 if average > 0 else 0.0
 
 
 def build_cmf(loads: Sequence[float]) -> list[float]:
@@ -106,12 +106,12 @@
     total = sum(weights)
     if total <= EPS:
         return []
-    out: list[float] = []
+    cmf: list[float] = []
     mass = 0.0
     for weight in weights:
         mass += weight / total
-        out.append(mass)
-    return out
+        cmf.append(mass)
+    return cmf
 
 
 def sample(cmf: Sequence[float], rng: random.Random) -> int:
@@ -135,10 +135,10 @@
     The paper's cutoff is strictly above the excess; a task of exactly the needed room frees it too, so
     here it may be equal.
     """
-    enough = [load(i) for i in items if load(i) >= excess - EPS]
-    if not enough:
+    sufficient = [load(i) for i in items if load(i) >= excess - EPS]
+    if not sufficient:
         return sorted(items, key=lambda i: (-load(i), i.key))
-    cutoff = min(enough)
+    cutoff = min(sufficient)
     light = sorted((i for i in items if load(i) <= cutoff + EPS), key=lambda i: (-load(i), i.key))
     heavy = sorted((i for i in items if load(i) > cutoff + EPS), key=lambda i: (load(i), i.key))
     return light + heavy
@@ -165,11 +165,11 @@
         target = others[sample(cmf, rng)]
         if (
             criterion(target.share(item), source.load, target.load)
-            and fits(item.need, target.free)
+            and fits(item.demand, target.free)
             and allowed(item.key, target.index)
         ):
-            target.free = sub(target.free, item.need)
-            source.free = add(source.free, item.need)
+            target.free = sub(target.free, item.demand)
+            source.free = add(source.free, item.demand)
             source.items = [i for i in source.items if i is not item]
             target.items = [*target.items, item]
             moves.append(Move(item.key, target.index))
@@ -182,29 +182,38 @@
 
 
 def free_room(
-    hosts: Sequence[Host], source: int, need: Room, counts: Counts, allowed: Allowed, rng: random.Random
+    hosts: Sequence[Host],
+    source: int,
+    demand: Resources,
+    counts: Counts,
+    allowed: Allowed,
+    rng: random.Random,
 ) -> Plan | None:
     """Algorithm 3: several trials of iterations from the same state; the best imbalance of those that
     free the room is the plan. None: no trial freed it."""
 
     def has_room(host: Host) -> bool:
-        return fits(need, host.free)
+        return fits(demand, host.free)
 
     best: Plan | None = None
     for _ in range(counts.trials):
         trial = copy_hosts(hosts)
-        here = next(h for h in trial if h.index == source)
-        others = [h for h in trial if h.index != source]
+        source_host = next(host for host in trial if host.index == source)
+        others = [host for host in trial if host.index != source]
         moves: list[Move] = []
         for _ in range(counts.iterations):
-            excess = max(0.0, (need[0] - here.free[0]) / here.cpus) if here.cpus > 0 else 0.0
-            moves += transfer(here, others, excess, has_room, counts.moves - len(moves), allowed, rng)
-            if has_room(here):
+            excess = (
+                max(0.0, (demand[0] - source_host.free[0]) / source_host.cpus)
+                if source_host.cpus > 0
+                else 0.0
+            )
+            moves += transfer(source_host, others, excess, has_room, counts.moves - len(moves), allowed, rng)
+            if has_room(source_host):
                 break
-        if moves and has_room(here):
-            left = imbalance(h.load for h in trial)
-            if best is None or left < best.imbalance:
-                best = Plan(source, tuple(moves), left)
+        if moves and has_room(source_host):
+            after = imbalance(host.load for host in trial)
+            if best is None or after < best.imbalance:
+                best = Plan(source, tuple(moves), after)
     return best
 
 
--- a/tests/test_launch_planning.py
+++ b/tests/test_launch_planning.py
@@ -11,7 +11,18 @@
 def test_launch_plans_prefer_spot_and_take_on_demand_machines_only_where_needed() -> None:
     types = World(1).catalog()
     spot, on_demand = scaling.MachinePool(0, 0, True), scaling.MachinePool(0, 0, False)
-    demand = scaling.Demand(frozenset({spot, on_demand}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
+    demand = scaling.Demand(
+        pools=frozenset({spot, on_demand}),
+        tasks=8,
+        cpus=1.0,
+        gpus=0.0,
+        mem_gb=1.0,
+        run_s=20.0,
+        urgent=False,
+        on_demand=0,
+        host_cpus=640.0,
+        spot_cpus=640.0,
+    )
 
     def plan_for(
         demand: scaling.Demand,
@@ -20,7 +31,7 @@
         preemptible: float = 0.0,
         busy: float = 50.0,
     ) -> list[tuple[scaling.MachinePool, int]]:
-        demand = dataclasses.replace(demand, yielded=preemptible)
+        demand = dataclasses.replace(demand, preemptible_cpus=preemptible)
         plans = scaling.plan_launches([demand], types, spare or {}, frozenset(refused), busy, 1e9, 2.0)
         return [(plan.pool, plan.count) for plan in plans]
 
@@ -33,8 +44,30 @@
     assert plan_for(without_spot, refused=[spot]) == [(on_demand, 2)], (
         "no spot machine exists or is available"
     )
-    late = scaling.Demand(demand.pools, 8, 1.0, 0.0, 1.0, 20.0, False, 3, 640.0, 640.0)
+    late = scaling.Demand(
+        pools=demand.pools,
+        tasks=8,
+        cpus=1.0,
+        gpus=0.0,
+        mem_gb=1.0,
+        run_s=20.0,
+        urgent=False,
+        on_demand=3,
+        host_cpus=640.0,
+        spot_cpus=640.0,
+    )
     assert plan_for(late, refused=[spot]) == [(on_demand, 1)], "only as many as are worth it"
-    urgent = scaling.Demand(demand.pools, 8, 1.0, 0.0, 1.0, 20.0, True, 0, 640.0, 640.0)
+    urgent = scaling.Demand(
+        pools=demand.pools,
+        tasks=8,
+        cpus=1.0,
+        gpus=0.0,
+        mem_gb=1.0,
+        run_s=20.0,
+        urgent=True,
+        on_demand=0,
+        host_cpus=640.0,
+        spot_cpus=640.0,
+    )
     assert plan_for(urgent, refused=[spot]) == [(on_demand, 2)]
     assert plan_for(urgent, refused=[spot], preemptible=8.0) == [], "it may preempt work of lower priority"
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -58,7 +58,7 @@
         for n in range(JOBS):
             status, body = site.controllers.ask("n0", "POST", "/api/jobs", job(n, IMAGES[n % 3], TASKS))
             assert (status, body["phase"]) == (200, "done"), "a repeated submission gets the one final answer"
-        assert any("tasks on" in site.controllers.log(name) for name in site.controllers.fronts)
+        assert any("placed by cost: job=" in site.controllers.log(name) for name in site.controllers.fronts)
 
 
 A, B = Event("req-1/0", 1, "vm-1", "running"), Event("req-1/0", 2, "vm-2", "running")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,9 +11,9 @@
 from world import Attempt, World
 
 from bayford.config import Settings
-from bayford.coordination.leader.autoscaler import Deletion, LaunchRequest, ScalingActions
 from bayford.coordination.leader.cloud_operations import LEADER_SHARE, LIST_SHARE, CloudOperations
 from bayford.coordination.leader.recovered_state import RecoveredState
+from bayford.coordination.leader.scaling_actions import Deletion, LaunchRequest, ScalingActions
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.workers.relay import heartbeats_in
 from bayford.protocol import workers
@@ -188,7 +188,7 @@
     scheduler, operations = leader_with_cloud(cloud, World().settings("n0"))
     requests = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
     for request in requests:
-        scheduler.autoscaler._asked_for(scheduler.autoscaler._pool(request), request.count)
+        scheduler.autoscaler._add_launching(scheduler.autoscaler._pool(request), request.count)
     operations.carry_out(ScalingActions(requests, [Deletion("vm-000001", "idle")]))
     assert operations.delete(["vm-000001"])
     waiting = sum(scheduler.state.launching.values())
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -15,7 +15,7 @@
 from bayford.scheduling.model import Job, Machine, MachineType, Placement
 from bayford.scheduling.policy import Policy
 from bayford.scheduling.tempered import Counts, Host, Item
-from bayford.spread.machine_snapshot import picture
+from bayford.spread.machine_snapshot import snapshot_of
 from bayford.spread.rebalance import Rebalancing, Relocation, rebalance
 from bayford.spread.restarts import RestartBudget, UnreadableCountsError
 from bayford.spread.score import Chooser, Weights, rendezvous
@@ -161,7 +161,7 @@
     by_index = {host.index: host for host in fleet}
     for relocation in plan.relocations:
         source, target = by_index[relocation.source], by_index[relocation.target]
-        need = next(item.need for item in before[source.index][1] if item.key == relocation.key)
+        need = next(item.demand for item in before[source.index][1] if item.key == relocation.key)
         assert tempered.criterion(need[0] / target.cpus, loads[source.index], loads[target.index])
         assert tempered.fits(need, target.free)
         target.free, source.free = tempered.sub(target.free, need), tempered.add(source.free, need)
@@ -193,8 +193,8 @@
             source.items.remove(item)
             target.items.append(item)
             source.free, target.free = (
-                tempered.add(source.free, item.need),
-                tempered.sub(target.free, item.need),
+                tempered.add(source.free, item.demand),
+                tempered.sub(target.free, item.demand),
             )
     else:
         pytest.fail("no end of migrations")
@@ -330,7 +330,7 @@
 
 def test_successive_leaders_restart_no_task_more_often_than_allowed(caplog: pytest.LogCaptureFixture) -> None:
     cluster = unbalanced_cluster(nodes=3)
-    with caplog.at_level("INFO", logger="bayford.spread"):
+    with caplog.at_level("INFO", logger="bayford.coordination.leader.load_spreader"):
         for _ in range(8):
             wait(cluster, 40.0, fleet=False)
             cluster.boot(cluster.leader() or "n0")
@@ -344,7 +344,7 @@
                 worker.epoch += 1
             wait(cluster, 4.0, fleet=False)
             scheduler.state.policy = SPREAD
-    migrated = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("moving ")]
+    migrated = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("migrating: ")]
     assert migrated and len(set(migrated)) == len(migrated), "each task once, across all leaders"
 
 
@@ -436,7 +436,7 @@
     target = next(machine for machine in scheduler.state.machines.values() if not machine.open)
     keys = [next(k for k, p in source.open.items() if p.job.spec.id == f"req-00000{n}") for n in (1, 2)]
     moves = tuple(Relocation(key, source.index, target.index) for key in keys)
-    known = {m.index: picture(m, cluster.clock.now) for m in (source, target)}
+    known = {m.index: snapshot_of(m, cluster.clock.now) for m in (source, target)}
     scheduler.scheduling.spreader._carry_out(Rebalancing(moves, 1.0, 0.5), known, cluster.clock.now)
     assert list(scheduler.state.uncounted_migrations) == ["req-000001"]
     first, second = scheduler.state.jobs["req-000001"], scheduler.state.jobs["req-000002"]
@@ -478,10 +478,10 @@
 def test_an_idle_machine_in_such_a_condition_is_no_migration_target(change: dict[str, object]) -> None:
     machine = idle_machines(1)[0]
     machine.registered, machine.last_heartbeat_at = True, 100.0
-    assert picture(machine, 101.0).accepts(5.0)
+    assert snapshot_of(machine, 101.0).accepts(5.0)
     for name, value in change.items():
         setattr(machine, name, value)
-    assert not picture(machine, 101.0).accepts(5.0)
+    assert not snapshot_of(machine, 101.0).accepts(5.0)
 
 
 def test_a_placement_hint_has_priority_over_machines_with_the_image() -> None:
@@ -517,7 +517,7 @@
     cluster = unbalanced_cluster()
     unlisted_machine = cluster.machine()
     unlisted_machine.kind = MachineType("odd", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north",))
-    with caplog.at_level("ERROR", logger="bayford.spread"):
+    with caplog.at_level("ERROR", logger="bayford.coordination.leader.load_spreader"):
         wait(cluster, 40.0, fleet=False)
     messages = [
         r for r in caplog.records if unlisted_machine.name in r.getMessage() and "catalog" in r.getMessage()
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -86,7 +86,9 @@
         for machine in scheduler.state.machines.values()
         if machine.zone not in scheduler.state.returning_zones
     ]
-    present = [(scaling.MachinePool(m.type, m.zone, m.spot), m) for m in machines_elsewhere]
+    present = [
+        scaling.PooledMachine(scaling.MachinePool(m.type, m.zone, m.spot), m) for m in machines_elsewhere
+    ]
     south, north = (scaling.MachinePool(0, zone_index(scheduler, name), True) for name in ("south", "north"))
     plans = [scaling.LaunchPlan(south, 20, "backlog"), scaling.LaunchPlan(north, 20, "backlog")]
     assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [
@@ -104,7 +106,10 @@
             )
         }
     )
-    present += [(south, scheduler.state.machines[index]) for index in scheduler.state.verified_machines]
+    present += [
+        scaling.PooledMachine(south, scheduler.state.machines[index])
+        for index in scheduler.state.verified_machines
+    ]
     assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [20, 20]
 
 
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -50,8 +50,6 @@
 REQUEST_COUNTS_LINE = re.compile(
     r"store requests: component=(\w+) requests=(\d+) changes=(\d+) refused=(\d+)"
 )
-    r"store requests: component=(\w+) requests=(\d+) changes=(\d+) refused=(\d+)"
-)
 
 
 def make_job(rng: random.Random, number: int, per_s: float) -> dict[str, Any]:
