--- /dev/null
+++ b/tests/fakes/cloud.py
@@ -0,0 +1,78 @@
+"""The cloud in memory: two machine types, launch requests, deletions; and its faults."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from bayford.protocol.cloud_api import LIST_PAGE, CloudBusyError, Listed, MachinePage, NoCapacityError
+from bayford.scheduling.model import MachineType
+from fakes.worker import FakeWorker
+
+SMALL = MachineType("small", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"))
+CARDS = MachineType("cards", 8.0, 2.0, 64.0, 2.0, 0.9, 30.0, 0.5, ("north",))
+
+
+class FakeCloud:
+    """Launches, lists and deletes machines; each machine comes with its worker, which is up at once."""
+
+    def __init__(self, new_worker: Callable[[str, MachineType, str, bool], FakeWorker]) -> None:
+        """`new_worker` makes the worker of a machine: name, machine type, zone, spot."""
+        self.new_worker = new_worker
+        self.workers: dict[str, FakeWorker] = {}  # by the machine's name
+        self.machines_launched = 0
+        self.requests: dict[str, list[str]] = {}  # launch request -> machines
+        self.capacity = 100  # how many more machines may be launched
+        self.down = False
+        self.deletes_lost = False  # deletions are not executed and get no response
+        self.late_deletes: list[list[str]] = []
+        self.deleted: list[str] = []
+        self.list_calls = 0
+
+    def catalog(self) -> list[MachineType]:
+        return [SMALL, CARDS]
+
+    def launch(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
+        if self.down:
+            raise CloudBusyError("503")
+        if request in self.requests:
+            return self.requests[request]
+        count = min(count, self.capacity)
+        if count <= 0:
+            raise NoCapacityError
+        self.capacity -= count
+        names = [self.start_machine(kind, zone, spot).name for _ in range(count)]
+        self.requests[request] = names
+        return names
+
+    def start_machine(self, kind: str = "small", zone: str = "north", spot: bool = True) -> FakeWorker:
+        self.machines_launched += 1
+        name = f"vm-{self.machines_launched:06d}"
+        machine_type = SMALL if kind == "small" else CARDS
+        worker = self.new_worker(name, machine_type, zone, spot)
+        self.workers[name] = worker
+        return worker
+
+    def delete(self, names: list[str]) -> None:
+        if self.down:
+            raise CloudBusyError("503")
+        if self.deletes_lost:
+            self.late_deletes.append(names)
+            raise CloudBusyError("no answer")
+        self.execute_delete(names)
+
+    def execute_delete(self, names: list[str]) -> None:
+        for name in names:
+            if self.workers.pop(name, None) is not None:
+                self.capacity += 1
+            self.deleted.append(name)
+
+    def machines(self, since: str) -> MachinePage:
+        if self.down:
+            raise CloudBusyError("503")
+        self.list_calls += 1
+        listed = [
+            Listed(worker.name, "10.0.0.9:9", worker.kind.name, worker.zone, worker.spot, "running", 5.0)
+            for worker in self.workers.values()
+            if worker.name > since
+        ]
+        return MachinePage(listed[:LIST_PAGE], len(listed) > LIST_PAGE)
--- /dev/null
+++ b/tests/fakes/worker.py
@@ -0,0 +1,152 @@
+"""A machine's worker by the protocol: fencing tokens, epochs, leases, commands; and its faults."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+import msgspec
+import orjson
+
+from bayford.protocol import workers
+from bayford.scheduling.model import MachineType
+
+if TYPE_CHECKING:
+    from fakes.cluster import Cluster
+
+
+def copy_of(heartbeat: workers.Heartbeat) -> workers.Heartbeat:
+    """As if it had gone over the wire."""
+    return msgspec.convert(msgspec.to_builtins(heartbeat), workers.Heartbeat)
+
+
+@dataclass
+class Attempt:
+    """A task attempt on a worker."""
+
+    task_id: str
+    number: int
+    phase: str
+    reason: str | None = None
+    checkpointed: bool = False
+
+
+class InFlightResponse(NamedTuple):
+    """A response to a heartbeat that arrives later."""
+
+    arrives_at: float
+    response: tuple[int, bytes]
+    sent_at: float  # when the heartbeat was sent
+    epoch: int  # of the heartbeat
+    node: str
+
+
+@dataclass
+class FakeWorker:
+    """A machine's worker by the protocol: fencing tokens, epochs, leases, commands."""
+
+    cluster: Cluster
+    name: str
+    kind: MachineType
+    zone: str
+    spot: bool
+    epoch: int = 1
+    sequence: int = 0
+    fencing_token: int = 0
+    last_answered_at: float = 0.0  # sending time of the last heartbeat that was answered
+    reclaim_notice_s: float | None = None
+    tasks: dict[tuple[str, int], Attempt] = field(default_factory=dict)
+    last_response_at: dict[str, float] = field(default_factory=dict)  # by controller
+    reports_to: str = ""  # the controller that gets its next heartbeat
+    unresponsive: bool = False  # its heartbeats arrive, no response reaches it
+    hung: bool = False  # it does nothing; what runs there goes on once it does
+    cannot_send: bool = False  # it reaches no controller, direct commands reach it
+    fails_starts: bool = False  # every attempt ends at once, for this reason:
+    failure_reason: str = "error"
+    response_in_flight: InFlightResponse | None = None
+
+    def heartbeat(self) -> workers.Heartbeat:
+        self.sequence += 1
+        states = [
+            workers.TaskState(
+                task_id=a.task_id,
+                attempt=a.number,
+                phase=a.phase,
+                reason=a.reason,
+                checkpointed=a.checkpointed,
+            )
+            for a in self.tasks.values()
+        ]
+        return workers.Heartbeat(
+            machine=self.name,
+            address=f"{self.name}:9",
+            type=self.kind.name,
+            zone=self.zone,
+            spot=self.spot,
+            epoch=self.epoch,
+            sequence=self.sequence,
+            fencing_token=self.fencing_token,
+            tasks=states,
+            reclaim_notice_s=self.reclaim_notice_s,
+        )
+
+    def check_lease(self) -> None:
+        if not self.hung and self.cluster.clock.now - self.last_answered_at > self.cluster.lease_s:
+            self.tasks.clear()
+            self.epoch += 1
+            self.last_answered_at = self.cluster.clock.now
+
+    def receive(self, answer: tuple[int, bytes], sent_at: float, epoch: int, node: str = "") -> int:
+        """Act on a response, as PROTOCOL says; returns its status, 0 if it is stale."""
+        status, body = answer[0], answer[1]
+        if status != 200:
+            return status
+        response = orjson.loads(body)
+        if epoch != self.epoch or response["baton"] < self.fencing_token:
+            return 0
+        self.fencing_token = response["baton"]
+        self.last_answered_at = max(self.last_answered_at, sent_at)
+        self.last_response_at[node] = self.cluster.clock.now
+        for command in response["orders"]:
+            self.execute(command)
+        return 200
+
+    def execute(self, command: dict[str, Any]) -> None:
+        key = (command["part"], command["try"])
+        present = self.tasks.get(key)
+        if command["verb"] == "start":
+            if present is not None:
+                return
+            job_id, number = workers.split_task(command["part"])  # type: ignore[misc]
+            spec = self.cluster.specs.get(job_id)
+            attempt = Attempt(command["part"], command["try"], "running")
+            self.tasks[key] = attempt
+            busy = [a for a in self.tasks.values() if a.task_id == command["part"] and a.phase != "ended"]
+            used = sum(
+                self.cluster.specs[a.task_id.split("/")[0]].cpus
+                for a in self.tasks.values()
+                if a.phase != "ended" and a is not attempt
+            )
+            if spec is None:
+                attempt.phase, attempt.reason = "ended", "unknown"
+            elif len(busy) > 1:
+                attempt.phase, attempt.reason = "ended", "busy"
+            elif used + spec.cpus > self.kind.cpus + 1e-6:
+                attempt.phase, attempt.reason = "ended", "full"
+            elif self.fails_starts:
+                attempt.phase, attempt.reason = "ended", self.failure_reason
+            else:
+                self.cluster.on_task_started(self, job_id, number)
+        elif command["verb"] == "halt":
+            if present is not None and present.phase != "ended":
+                present.phase, present.reason = "ended", "halted"
+        elif present is not None and present.phase == "ended":
+            del self.tasks[key]
+
+    def finish(self, task_id: str, reason: str = "done") -> None:
+        for attempt in self.tasks.values():
+            if attempt.task_id == task_id and attempt.phase != "ended":
+                attempt.phase, attempt.reason = "ended", reason
+
+    def running(self) -> list[str]:
+        return [a.task_id for a in self.tasks.values() if a.phase != "ended"]
--- a/tests/test_takeover_estimates.py
+++ b/tests/test_failover_run_times.py
@@ -1,54 +1,54 @@
 """What a new leader makes of tasks that were running before it: it does not know since when."""
 
-from test_stories import quiet, running, wait
-from world import World
+from fakes.cluster import Cluster
+from fakes.scenarios import run_for, running_tasks, started_cluster
 
 from bayford.scheduling.preemption import lost_work
 
 GUESS_S = 40.0
 
 
-def takeover() -> tuple[World, str]:
+def takeover() -> tuple[Cluster, str]:
     """A cluster in which six tasks have run for 30 s when another controller takes over, and that one."""
-    cluster = quiet(machines=2, nodes=2)
+    cluster = started_cluster(machines=2, nodes=2)
     cluster.submit("n0", cluster.job(1, crew="open", parts=6, guess_s=GUESS_S))
-    wait(cluster, 30.0, fleet=False)
-    assert len(running(cluster)) == 6
+    run_for(cluster, 30.0, cloud=False)
+    assert len(running_tasks(cluster)) == 6
     old = cluster.leader()
     assert old is not None
     del cluster.nodes[old]
-    wait(cluster, 8.0, fleet=False)
+    run_for(cluster, 8.0, cloud=False)
     heir = cluster.leader()
     assert heir not in (None, old)
-    assert len(running(cluster)) == 6
+    assert len(running_tasks(cluster)) == 6
     return cluster, heir
 
 
-def test_tasks_that_end_after_a_failover_teach_no_run_times():
+def test_tasks_that_end_after_a_failover_teach_no_run_times() -> None:
     """They counted as runs of a few seconds, the class was expected to end at once, and after each failover
     the backlog seemed to be nothing, for launching, for stops and for the order of service."""
     cluster, heir = takeover()
     scheduler = cluster.nodes[heir].scheduler
     for task in range(4):
         cluster.finish(f"req-000001/{task}")
-    wait(cluster, 2.0, fleet=False)
+    run_for(cluster, 2.0, cloud=False)
     job = scheduler.state.jobs["req-000001"]
     assert len(job.done) == 4
     assert scheduler.state.expected(job) == GUESS_S
 
 
-def test_what_the_new_leader_placed_itself_does_teach_them():
+def test_what_the_new_leader_placed_itself_does_teach_them() -> None:
     cluster, heir = takeover()
     scheduler = cluster.nodes[heir].scheduler
     cluster.submit(heir, cluster.job(2, crew="open", parts=2, guess_s=GUESS_S))
-    wait(cluster, 12.0, fleet=False)
+    run_for(cluster, 12.0, cloud=False)
     for task in range(2):
         cluster.finish(f"req-000002/{task}")
-    wait(cluster, 2.0, fleet=False)
+    run_for(cluster, 2.0, cloud=False)
     assert scheduler.state.expected(scheduler.state.jobs["req-000001"]) < GUESS_S
 
 
-def test_stopping_an_inherited_task_loses_more_than_the_time_since_the_failover():
+def test_stopping_an_inherited_task_loses_more_than_the_time_since_the_failover() -> None:
     cluster, heir = takeover()
     scheduler = cluster.nodes[heir].scheduler
     job = scheduler.state.jobs["req-000001"]
--- /dev/null
+++ b/tests/test_faulty_machines.py
@@ -0,0 +1,145 @@
+"""Machines that fall silent, do not respond or fail what they start; and jobs that fail everywhere."""
+
+from fakes.scenarios import run_for, running_tasks, started_cluster
+
+
+def test_a_silent_machine_is_deleted_before_its_tasks_are_requeued() -> None:
+    cluster = started_cluster(machines=1)
+    cluster.cloud.capacity = 0
+    cluster.submit("n0", cluster.job(1, parts=1))
+    cluster.step()
+    cluster.step()
+    silent = next(iter(cluster.workers.values()))
+    cluster.network_cuts.add((silent.name, "n0"))
+    spare = cluster.machine()
+    cluster.cloud.deletes_lost = True
+    for _ in range(40):
+        cluster.step(1.0)
+        cluster.cloud_step("n0")
+    assert cluster.cloud.late_deletes, "deletion was asked for"
+    assert running_tasks(cluster) in ([], ["req-000001/0"]) and not spare.running(), (
+        "no proof yet: nothing is requeued"
+    )
+    cluster.cloud.deletes_lost = False
+    for _ in range(3):
+        cluster.step(1.0)
+        cluster.cloud_step("n0")
+    assert silent.name in cluster.cloud.deleted
+    cluster.step()
+    assert spare.running() == ["req-000001/0"]
+
+
+def test_when_many_fall_silent_together_they_get_more_time_than_one_alone() -> None:
+    cluster = started_cluster(machines=8)
+    cluster.submit("n0", cluster.job(1, crew="blue", parts=16, guess_s=200.0))
+    run_for(cluster, 3.0)
+    before = running_tasks(cluster)
+    cut = sorted(cluster.workers)[:4]
+    cluster.network_cuts |= {(name, "n0") for name in cut}
+    run_for(cluster, 20.0)
+    assert cluster.cloud.deleted == [], "a cut, most likely"
+    cluster.network_cuts.clear()
+    run_for(cluster, 5.0)
+    assert len(running_tasks(cluster)) == 16 and before
+    cluster.network_cuts.add((cut[0], "n0"))
+    run_for(cluster, 20.0)
+    assert cluster.cloud.deleted == [cut[0]]
+
+
+def test_an_unresponsive_machine_is_replaced_and_its_work_runs_elsewhere() -> None:
+    cluster = started_cluster(machines=1)
+    deaf = next(iter(cluster.workers.values()))
+    deaf.unresponsive = True
+    cluster.submit("n0", cluster.job(1))
+    run_for(cluster, 8.0)
+    assert deaf.name in cluster.cloud.deleted, (
+        "starts that never show give it away, long before a lease is out"
+    )
+    assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
+
+
+def test_an_unresponsive_machine_with_running_tasks_loses_them_and_no_more() -> None:
+    cluster = started_cluster(machines=1)
+    deaf = next(iter(cluster.workers.values()))
+    cluster.submit("n0", cluster.job(1, parts=4))
+    run_for(cluster, 3.0, cloud=False)
+    assert len(running_tasks(cluster)) == 4
+    deaf.unresponsive = True
+    run_for(cluster, 40.0)
+    assert deaf.name in cluster.cloud.deleted
+    assert len(running_tasks(cluster)) == 4
+
+
+def test_an_idle_unresponsive_machine_is_found_by_its_lease_expiries() -> None:
+    cluster = started_cluster(machines=1)
+    deaf = next(iter(cluster.workers.values()))
+    deaf.unresponsive = True
+    run_for(cluster, 26.0, cloud=False)
+    machine = next(iter(cluster.nodes["n0"].scheduler.state.machines.values()))
+    assert deaf.epoch == 3 and machine.quarantined, "two leases ran out although it was answered"
+
+
+def test_a_cancelled_task_on_an_unresponsive_machine_is_gone_in_time() -> None:
+    cluster = started_cluster(machines=2)
+    cluster.submit("n0", cluster.job(1, parts=8))
+    run_for(cluster, 3.0, cloud=False)
+    for worker in cluster.workers.values():
+        worker.unresponsive = True
+    cluster.cancel("n0", "req-000001")
+    run_for(cluster, cluster.cancel_s)  # the world watches the bound
+    assert running_tasks(cluster) == []
+
+
+def test_when_many_seem_unresponsive_the_fault_is_the_controllers_and_none_is_replaced() -> None:
+    cluster = started_cluster(machines=8)
+    for worker in cluster.workers.values():
+        worker.unresponsive = True
+    cluster.submit("n0", cluster.job(1, crew="blue", parts=16))
+    run_for(cluster, 6.0)
+    assert cluster.cloud.deleted == []
+
+
+def test_a_machine_that_fails_several_jobs_is_quarantined_and_deleted() -> None:
+    cluster = started_cluster(machines=2)
+    sick = next(iter(cluster.workers.values()))
+    sick.fails_starts = True
+    for n in range(1, 5):
+        cluster.submit("n0", cluster.job(n, parts=2))
+    for _ in range(12):
+        cluster.step(1.0)
+        cluster.cloud_step("n0")
+    assert sick.name in cluster.cloud.deleted
+    assert sum(name in cluster.cloud.deleted for name in ("vm-000001", "vm-000002")) == 1
+
+
+def test_a_job_that_fails_everywhere_is_the_jobs_fault_and_backs_off() -> None:
+    cluster = started_cluster(machines=5)
+    for worker in cluster.workers.values():
+        worker.fails_starts = True
+    cluster.submit("n0", cluster.job(1, parts=1))
+    for _ in range(20):
+        cluster.step(1.0)
+        cluster.cloud_step("n0")
+    job = cluster.nodes["n0"].scheduler.state.jobs["req-000001"]
+    assert 3 <= job.errors <= 8
+    assert job.not_before > cluster.clock.now
+    assert not any(m.quarantined for m in cluster.nodes["n0"].scheduler.state.machines.values())
+
+
+def test_an_array_that_fails_on_some_machines_and_runs_on_others_is_not_at_fault() -> None:
+    cluster = started_cluster(machines=4)
+    cluster.submit("n0", cluster.job(1, crew="blue", parts=40, guess_s=60.0))
+    run_for(cluster, 8.0, cloud=False)
+    sick = sorted(cluster.workers)[:3]
+    for name in sick:
+        worker = cluster.workers[name]
+        worker.fails_starts = True
+        worker.finish(worker.running()[0], "error")
+    run_for(cluster, 4.0)
+    job = cluster.nodes["n0"].scheduler.state.jobs["req-000001"]
+    assert job.errors >= 3 and job.backoff_count == 0
+    for name in sick:
+        if name in cluster.workers and cluster.workers[name].running():
+            cluster.workers[name].finish(cluster.workers[name].running()[0], "error")
+    run_for(cluster, 6.0)
+    assert set(sick) <= set(cluster.cloud.deleted), "twice is enough, as it runs elsewhere"
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -2,6 +2,7 @@
 
 import random
 import threading
+from pathlib import Path
 
 from standins.admission_history import (
     accepted_under,
@@ -22,7 +23,9 @@
 PER_S, SECONDS = SERVED_PER_S * 10, 12.0
 
 
-def test_a_flood_at_ten_times_what_is_served_while_the_leader_and_another_controller_end(tmp_path):
+def test_a_flood_at_ten_times_what_is_served_while_the_leader_and_another_controller_end(
+    tmp_path: Path,
+) -> None:
     rng = random.Random(5)
     state = StateService(RPS, WRITE_RPS)
     with Site(tmp_path, SCRIPT, MACHINES, teams=TEAMS, state=state) as site:
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -18,7 +18,7 @@
 IMAGES = ["img-0", "img-1", "img-2"]
 
 
-def test_a_burst_whose_images_lie_on_three_machines_is_spread_and_ends_once(tmp_path):
+def test_a_burst_whose_images_lie_on_three_machines_is_spread_and_ends_once(tmp_path: Path) -> None:
     with Site(tmp_path, ALL_PARTS + KEEP_IDLE, MACHINES) as site:
         for n in range(MACHINES):
             images = (IMAGES[n],) if n < len(IMAGES) else ()
@@ -78,7 +78,9 @@
         ([A, A_DONE, LATER], [], [], ["req-2"]),  # the first never came back there
     ],
 )
-def test_the_checks_of_histories_find_what_is_wrong(history, twice, not_once, order):
+def test_the_checks_of_histories_find_what_is_wrong(
+    history: list[Event], twice: list[str], not_once: list[str], order: list[str]
+) -> None:
     assert ran_twice(history) == twice
     assert not_done_once(history, ["req-1/0"]) == not_once
     assert out_of_order(history, ["vm-2"], ["req-1", "req-2"]) == order
@@ -94,7 +96,7 @@
         ({}, ["req-1"]),
     ],
 )
-def test_the_check_of_answers_finds_what_is_wrong(told, wrong):
+def test_the_check_of_answers_finds_what_is_wrong(told: dict[str, str | None], wrong: list[str]) -> None:
     assert without_one_answer({"req-1": told}, "done") == wrong
 
 
@@ -103,7 +105,7 @@
 )
 
 
-def test_a_zone_that_is_cut_away_flaps_and_returns_has_one_answer_for_each_job(tmp_path):
+def test_a_zone_that_is_cut_away_flaps_and_returns_has_one_answer_for_each_job(tmp_path: Path) -> None:
     """Its leader ends meanwhile; jobs bound to the zone come back in the stated order."""
     with Site(tmp_path, RECOVER + KEEP_IDLE, 12, lease_s=6.0) as site:
         for n in range(12):
--- /dev/null
+++ b/tests/test_outages.py
@@ -0,0 +1,120 @@
+"""Outages of the store, for one controller or for all, and controllers that were paused."""
+
+import msgspec
+import pytest
+from fakes.scenarios import cluster_with_paused_leader, run_for, running_tasks, started_cluster
+
+from bayford.clock import NEVER
+from bayford.coordination.leader.autoscaler import LaunchRequest
+
+
+def test_during_an_outage_heartbeats_are_answered_nothing_starts_and_it_ends_in_time() -> None:
+    cluster = started_cluster(machines=1)
+    cluster.submit("n0", cluster.job(1, parts=1))
+    cluster.step()
+    cluster.step()
+    worker = next(iter(cluster.workers.values()))
+    cluster.store.down = True
+    began = cluster.clock.now
+    statuses = []
+    while cluster.clock.now - began < 40.0:
+        cluster.pass_time(1.0)
+        statuses.append((cluster.clock.now - began, cluster.heartbeat(worker)))
+    answered = [t for t, s in statuses if s == 200]
+    assert answered and max(answered) > 15.0
+    assert max(answered) + cluster.lease_s < cluster.cancel_s
+    assert worker.running() == ["req-000001/0"]
+
+
+def test_an_outage_longer_than_any_timeout_costs_no_machine() -> None:
+    """From a bound on heartbeats are turned away, so all workers are silent: that is our doing, not
+    theirs."""
+    cluster = started_cluster(machines=4)
+    cluster.submit("n0", cluster.job(1, crew="blue", parts=16, guess_s=500.0))
+    run_for(cluster, 3.0)
+    before = set(cluster.workers)
+    cluster.store.down = True
+    run_for(cluster, 90.0)
+    cluster.store.down = False
+    cluster.step_controller("n0")  # it is sure to be the leader again before anybody has reported
+    cluster.cloud_step("n0")
+    run_for(cluster, 10.0)
+    assert cluster.cloud.deleted == [] and set(cluster.workers) == before
+    assert len(running_tasks(cluster)) == 16
+
+
+def test_in_an_outage_for_all_no_controller_counts_as_isolated() -> None:
+    cluster = started_cluster(machines=1, nodes=2)
+    cluster.store.down = True
+    run_for(cluster, 20.0, cloud=False)
+    assert all(not node.isolated() and node.healthy() for node in cluster.nodes.values())
+    assert all(worker.epoch == 1 for worker in cluster.workers.values())
+
+
+def test_a_controller_that_alone_is_refused_by_the_store_reports_itself_unhealthy() -> None:
+    cluster = started_cluster(nodes=2)
+    assert cluster.nodes["n1"].healthy()
+    cluster.store.unavailable_to.add("n1")
+    cluster.nodes["n1"].peers.asks = {"n0": lambda timeout_s: cluster.nodes["n0"].status()}
+    for _ in range(5):
+        cluster.step(1.0)
+        cluster.nodes["n1"]._peer_step()
+    assert cluster.nodes["n0"].healthy() and not cluster.nodes["n1"].healthy()
+    cluster.store.unavailable_to.add("n0")
+    for _ in range(9):
+        cluster.step(1.0)
+        cluster.nodes["n1"]._peer_step()
+    assert cluster.nodes["n1"].healthy(), (
+        "an outage for all: every node stays up and tells users to come back"
+    )
+
+
+@pytest.mark.parametrize("seconds", [20.0, 60.0])  # within the bound for outages, and beyond it
+def test_a_leader_that_was_paused_decides_and_commands_nothing_on_its_old_state(seconds: float) -> None:
+    """Whichever of its threads goes on first. One deleted the fleet, silent for a minute as it seemed."""
+    for first in ("fleet", "delete", "rent", "command", "report"):
+        cluster, old = cluster_with_paused_leader(seconds=seconds)
+        assert [n for n in cluster.nodes if n != old and cluster.nodes[n].scheduler.leader], (
+            "another has taken over"
+        )
+        assert len(running_tasks(cluster)) == 16
+        node = cluster.nodes[old]
+        launched_at, sent = cluster.cloud.machines_launched, []
+        node._command = lambda address, body, sent=sent: sent.append(address)
+        worker = next(iter(cluster.workers.values()))
+        if first == "fleet":
+            cluster.cloud_step(old)
+        elif first == "delete":
+            node.cloud_operations.delete(sorted(cluster.workers))
+        elif first == "rent":
+            node.cloud_operations.launch(LaunchRequest("small", "north", True, 3, "backlog"))
+            assert not node.scheduler.state.refused, "the cloud was not asked, so it has refused nothing"
+        elif first == "command":
+            index = node.scheduler.state.machine_names.find(worker.name)
+            for placement in node.scheduler.state.machines[index].open.values():
+                node.scheduler.state.stop(placement, 0.0)
+            node._command_step()
+        else:
+            copy = msgspec.structs.replace(worker.heartbeat(), fencing_token=1, sequence=999)
+            assert node.heartbeat(copy, NEVER)[0] == 503
+        assert (
+            cluster.cloud.deleted == [] and cluster.cloud.machines_launched == launched_at and sent == []
+        ), first
+        run_for(cluster, 10.0)
+        assert cluster.cloud.deleted == [] and len(running_tasks(cluster)) == 16
+
+
+def test_the_only_controller_is_paused_and_loses_no_machine() -> None:
+    """Nobody takes over; all leases run out, and everybody comes back with a new epoch."""
+    cluster, name = cluster_with_paused_leader(nodes=1)
+    before = set(cluster.workers)
+    cluster.step_controller(name)  # it is sure to be the leader again before anybody has reported
+    cluster.cloud_step(name)
+    run_for(cluster, 10.0)
+    assert cluster.cloud.deleted == [] and set(cluster.workers) >= before
+    assert len(running_tasks(cluster)) == 16
+
+
+def test_the_first_heartbeat_after_a_pause_awaits_the_verification_that_it_calls_for() -> None:
+    cluster, name = cluster_with_paused_leader(nodes=1, seconds=8.0)
+    assert cluster.heartbeat(next(iter(cluster.workers.values())), name) == 200
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,7 +1,7 @@
 """Which task is stopped when urgent work needs room (`scheduling.preemption`)."""
 
 import pytest
-from test_stories import quiet, running, wait
+from fakes.scenarios import run_for, running_tasks, started_cluster
 
 from bayford.scheduling.model import ARRAY, SERVICE, Job, JobSpec, Placement
 from bayford.scheduling.preemption import MISSED_DEADLINE, REPEATED_STOP, delay_cost
@@ -44,12 +44,12 @@
     return delay_cost(job, job.open[9], now, EXPECTED_S, due_s)
 
 
-def test_a_job_with_tasks_waiting_loses_no_time_by_one_more():
+def test_a_job_with_tasks_waiting_loses_no_time_by_one_more() -> None:
     assert cost(array(waiting=10)) == 0.0
     assert cost(array(waiting=0)) == EXPECTED_S, "its last task begins anew"
 
 
-def test_each_stop_makes_the_next_one_dearer():
+def test_each_stop_makes_the_next_one_dearer() -> None:
     job = array()
     job.note_preemption(9)
     job.note_preemption(9)
@@ -64,30 +64,109 @@
         (130.0, 0.0),  # late either way
     ],
 )
-def test_a_deadline_that_the_stop_would_miss_counts(due_s, expected):
+def test_a_deadline_that_the_stop_would_miss_counts(due_s: float, expected: float) -> None:
     assert cost(array(), due_s) == expected
 
 
-def test_what_keeps_its_progress_costs_nothing_more():
+def test_what_keeps_its_progress_costs_nothing_more() -> None:
     assert cost(array(waiting=0, checkpoint_interval_s=30.0)) == 0.0
     assert cost(array(waiting=0, shape=SERVICE)) == 0.0
 
 
-def test_the_same_task_is_not_stopped_again_and_again():
+def test_the_same_task_is_not_stopped_again_and_again() -> None:
     """The task that was stopped last had always run for the shortest time, so each urgent job stopped it once
     more: on a recorded day's like, single tasks ended a hundred seconds after the rest of their array."""
-    cluster = quiet(machines=1)
+    cluster = started_cluster(machines=1)
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, guess_s=300.0))
-    wait(cluster, 10.0, fleet=False)
-    assert len(running(cluster)) == 4
+    run_for(cluster, 10.0, cloud=False)
+    assert len(running_tasks(cluster)) == 4
     stopped = []
     for number in range(2, 6):
-        before = set(running(cluster))
+        before = set(running_tasks(cluster))
         cluster.submit("n0", cluster.job(number, crew="open", parts=1, rank="urgent", guess_s=5.0))
-        wait(cluster, 6.0, fleet=False)
-        assert f"req-{number:06d}/0" in running(cluster)
-        stopped += before - set(running(cluster))
+        run_for(cluster, 6.0, cloud=False)
+        assert f"req-{number:06d}/0" in running_tasks(cluster)
+        stopped += before - set(running_tasks(cluster))
         cluster.finish(f"req-{number:06d}/0")
-        wait(cluster, 6.0, fleet=False)
-        assert len(running(cluster)) == 4
+        run_for(cluster, 6.0, cloud=False)
+        assert len(running_tasks(cluster)) == 4
     assert len(stopped) == 4 and len(set(stopped)) == 4
+
+
+def test_urgent_work_preempts_sweeps_but_not_equals() -> None:
+    cluster = started_cluster(machines=2)
+    cluster.cloud.capacity = 0
+    cluster.submit("n0", cluster.job(1, parts=8))
+    cluster.step()
+    cluster.step()
+    assert len(running_tasks(cluster)) == 8
+    cluster.submit("n0", cluster.job(2, parts=2, crew="blue", rank="urgent"))
+    for _ in range(5):
+        cluster.step()
+    assert sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 2
+    cluster.submit("n0", cluster.job(3, parts=2, crew="blue", rank="urgent"))
+    for _ in range(5):
+        cluster.step()
+    urgent = [p for p in running_tasks(cluster) if p.startswith("req-000003")]
+    assert len(urgent) == 2 and sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 2
+
+
+def test_nothing_is_preempted_for_capacity_that_is_released_in_a_moment() -> None:
+    cluster = started_cluster(machines=2)  # 8 CPUs
+    cluster.submit("n0", cluster.job(1, parts=8, crew="blue", guess_s=1.6))  # two CPUs given back in 0.4 s
+    run_for(cluster, 2.0, cloud=False)
+    assert len(running_tasks(cluster)) == 8
+    cluster.submit("n0", cluster.job(2, parts=2, crew="blue", rank="urgent"))
+    cluster.step_controller("n0")
+    scheduler = cluster.nodes["n0"].scheduler
+    assert not scheduler.state.stopping
+    cluster.finish("req-000001/0")
+    cluster.finish("req-000001/1")
+    run_for(cluster, 1.0, cloud=False)
+    assert [p for p in running_tasks(cluster) if p.startswith("req-000002/")] == [
+        "req-000002/0",
+        "req-000002/1",
+    ]
+    cluster.submit("n0", cluster.job(3, parts=1, crew="blue", rank="urgent"))
+    run_for(cluster, 3.5, cloud=False)  # but when nothing comes back, room is made
+    assert "req-000003/0" in running_tasks(cluster)
+
+
+def test_equals_of_two_teams_do_not_preempt_one_another_in_turn() -> None:
+    """Each team once counted as within its guarantee while the other's stops were still under way."""
+    cluster = started_cluster(machines=2)
+    cluster.cloud.capacity = 0
+    for n in (1, 2):
+        cluster.submit("n0", cluster.job(n, parts=8, rank="urgent", crew="red" if n == 1 else "blue"))
+    stopped = 0
+    for _ in range(60):
+        cluster.step(1.0)
+        stopped += sum(
+            p.stopping for m in cluster.nodes["n0"].scheduler.state.machines.values() for p in m.open.values()
+        )
+    assert stopped == 0
+    assert len(running_tasks(cluster)) == 8
+
+
+def test_capacity_preempted_for_a_job_is_kept_for_it() -> None:
+    """Two stops free two CPUs on one machine; smaller waiting tasks must not take the first of them."""
+    cluster = started_cluster(machines=1)
+    cluster.cloud.capacity = 0
+    cluster.submit("n0", cluster.job(1, parts=8))
+    cluster.step()
+    cluster.step()
+    cluster.submit("n0", cluster.job(2, parts=1, cpus=2.0, crew="blue", rank="urgent"))
+    node = cluster.nodes["n0"]
+    node.watch_cache.pull(0.0)
+    node.scheduler.round()
+    worker = next(iter(cluster.workers.values()))
+    first, second = (
+        key for key, p in next(iter(node.scheduler.state.machines.values())).open.items() if p.stopping
+    )
+    worker.finish(first[0], "halted")
+    cluster.heartbeat(worker)
+    cluster.step_controller("n0")
+    worker.finish(second[0], "halted")
+    cluster.step()
+    cluster.step()
+    assert "req-000002/0" in worker.running()
--- /dev/null
+++ b/tests/test_request_rates.py
@@ -0,0 +1,19 @@
+"""How many requests the controllers send to the store and to the cloud."""
+
+from fakes.scenarios import started_cluster
+
+
+def test_the_watches_of_all_controllers_leave_most_requests_to_others() -> None:
+    cluster = started_cluster(nodes=3)
+    rps = cluster.nodes["n0"].settings.facts.state.rps
+    pauses = [node._watch_step() for node in cluster.nodes.values()]
+    assert sum(1.0 / pause for pause in pauses) <= 0.35 * rps, "even if each change ends each watch"
+
+
+def test_calls_to_the_cloud_keep_within_their_rate() -> None:
+    cluster = started_cluster(machines=0)
+    node = cluster.nodes["n0"]
+    began = cluster.clock.now
+    for _ in range(30):
+        node.cloud_operations.pace()
+    assert 30 / (cluster.clock.now - began) < 3.0 * 1.3
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 
 import pytest
-from test_stories import quiet, running
-from world import World
+from fakes.cluster import Cluster
+from fakes.scenarios import running_tasks
 
 from bayford.protocol.cloud_api import Listed
 from bayford.scheduling import placement_rules, scaling
@@ -12,331 +12,338 @@
 from bayford.storage import records
 
 
-def ordinary(machines: int = 3, **world_fields) -> World:
+def ordinary(machines: int = 3, **cluster_fields) -> Cluster:
     """A world with on-demand machines reporting."""
-    w = World(1, **world_fields)
+    cluster = Cluster(1, **cluster_fields)
     for n in range(machines):
-        w.machine("small", "north" if n % 2 else "south", spot=False)
+        cluster.machine("small", "north" if n % 2 else "south", spot=False)
     for _ in range(3):
-        w.step()
-    return w
+        cluster.step()
+    return cluster
 
 
-def steps(w: World, count: int, seconds: float = 0.5) -> None:
+def steps(cluster: Cluster, count: int, seconds: float = 0.5) -> None:
     for _ in range(count):
-        w.step(seconds)
+        cluster.step(seconds)
 
 
-def where(w: World, job: str = "req-000001") -> dict[str, list[str]]:
+def where(cluster: Cluster, job: str = "req-000001") -> dict[str, list[str]]:
     """Machine -> the job's replicas there."""
-    found = {name: [p for p in x.running() if p.startswith(job)] for name, x in w.workers.items()}
+    found = {name: [p for p in x.running() if p.startswith(job)] for name, x in cluster.workers.items()}
     return {name: parts for name, parts in found.items() if parts}
 
 
-def test_a_service_is_pending_or_running_until_it_is_cancelled_whatever_its_replicas_heartbeat():
-    w = ordinary()
-    assert w.submit("n0", w.daemon(1)) == 201
-    assert w.query("n0", "req-000001") == "pending"
-    steps(w, 3)
+def test_a_service_is_pending_or_running_until_it_is_cancelled_whatever_its_replicas_heartbeat() -> None:
+    cluster = ordinary()
+    assert cluster.submit("n0", cluster.service(1)) == 201
+    assert cluster.query("n0", "req-000001") == "pending"
+    steps(cluster, 3)
     for _ in range(40):
-        assert w.query("n0", "req-000001") in ("pending", "running")
-        for task_id in running(w):
-            for worker in w.workers.values():
+        assert cluster.query("n0", "req-000001") in ("pending", "running")
+        for task_id in running_tasks(cluster):
+            for worker in cluster.workers.values():
                 worker.finish(task_id, "done")
-        w.step(5.0)
-    assert w.cancel("n0", "req-000001") == "aborted"
-    steps(w, 4)
-    assert running(w) == [] and w.query("n0", "req-000001") == "aborted"
-
-
-def test_replicas_are_spread_over_machines_and_zones():
-    w = ordinary(4)
-    w.submit("n0", w.daemon(1, parts=4, crew="blue"))
-    steps(w, 4)
-    assert [len(parts) for parts in where(w).values()] == [1, 1, 1, 1]
-    w.submit("n0", w.daemon(2, parts=2))
-    steps(w, 4)
-    zones = {w.workers[name].zone for name in where(w, "req-000002")}
+        cluster.step(5.0)
+    assert cluster.cancel("n0", "req-000001") == "aborted"
+    steps(cluster, 4)
+    assert running_tasks(cluster) == [] and cluster.query("n0", "req-000001") == "aborted"
+
+
+def test_replicas_are_spread_over_machines_and_zones() -> None:
+    cluster = ordinary(4)
+    cluster.submit("n0", cluster.service(1, parts=4, crew="blue"))
+    steps(cluster, 4)
+    assert [len(parts) for parts in where(cluster).values()] == [1, 1, 1, 1]
+    cluster.submit("n0", cluster.service(2, parts=2))
+    steps(cluster, 4)
+    zones = {cluster.workers[name].zone for name in where(cluster, "req-000002")}
     assert zones == {"north", "south"}
 
 
-def test_a_replica_that_ends_runs_again_at_once_and_one_that_can_not_run_holds_back_no_other():
-    w = ordinary(3)
-    w.submit("n0", w.daemon(1, parts=3))
-    steps(w, 4)
-    assert len(running(w)) == 3
+def test_a_replica_that_ends_runs_again_at_once_and_one_that_can_not_run_holds_back_no_other() -> None:
+    cluster = ordinary(3)
+    cluster.submit("n0", cluster.service(1, parts=3))
+    steps(cluster, 4)
+    assert len(running_tasks(cluster)) == 3
     ends = 0
     for _ in range(60):
-        for worker in w.workers.values():
+        for worker in cluster.workers.values():
             if "req-000001/1" in worker.running():
                 worker.finish("req-000001/1", "done")
                 ends += 1
-        w.step()
-        assert {"req-000001/0", "req-000001/2"} <= set(running(w)), "the healthy ones go on"
+        cluster.step()
+        assert {"req-000001/0", "req-000001/2"} <= set(running_tasks(cluster)), "the healthy ones go on"
     assert 3 <= ends <= 9, f"{ends} starts in 30 s: at once at first, then ever more seldom"
-    steps(w, 80)
-    assert len(running(w)) == 3, "and it is tried again"
+    steps(cluster, 80)
+    assert len(running_tasks(cluster)) == 3, "and it is tried again"
 
 
 @pytest.mark.parametrize("cpus", [1.0, 4.0])
-def test_a_replica_that_failed_on_every_machine_there_is_comes_back(cpus):
+def test_a_replica_that_failed_on_every_machine_there_is_comes_back(cpus: float) -> None:
     """It failed wherever there was room, the others of its job ran, and no machine was left that it might go
     to."""
-    w = ordinary(3)
-    w.capacity = 0
-    w.submit("n0", w.daemon(1, parts=2, cpus=cpus))
-    steps(w, 16)
+    cluster = ordinary(3)
+    cluster.cloud.capacity = 0
+    cluster.submit("n0", cluster.service(1, parts=2, cpus=cpus))
+    steps(cluster, 16)
     for _ in range(200):
-        for worker in w.workers.values():
+        for worker in cluster.workers.values():
             if "req-000001/1" in worker.running():
                 worker.finish("req-000001/1", "error")
-        w.step()
-        w.fleet("n0")
-    assert not w.deleted, "one bad replica costs no machine"
-    steps(w, 120)
-    assert len(running(w)) == 2
-
-
-def test_a_machine_that_fails_what_it_starts_gets_no_replica_and_those_on_it_go_on():
-    w = ordinary(3)
-    w.submit("n0", w.daemon(1, parts=1, cpus=1.0))
-    steps(w, 16)
-    sick = w.workers[next(iter(where(w)))]
-    sick.fails = True
+        cluster.step()
+        cluster.cloud_step("n0")
+    assert not cluster.cloud.deleted, "one bad replica costs no machine"
+    steps(cluster, 120)
+    assert len(running_tasks(cluster)) == 2
+
+
+def test_a_machine_that_fails_what_it_starts_gets_no_replica_and_those_on_it_go_on() -> None:
+    cluster = ordinary(3)
+    cluster.submit("n0", cluster.service(1, parts=1, cpus=1.0))
+    steps(cluster, 16)
+    sick = cluster.workers[next(iter(where(cluster)))]
+    sick.fails_starts = True
     for number in (2, 3, 4):
-        w.submit("n0", w.daemon(number, parts=2, cpus=0.5))
+        cluster.submit("n0", cluster.service(number, parts=2, cpus=0.5))
     for _ in range(30):
-        w.step()
-        w.fleet("n0")
-    assert len(running(w)) == 7
+        cluster.step()
+        cluster.cloud_step("n0")
+    assert len(running_tasks(cluster)) == 7
     assert sick.running() == ["req-000001/0"], "what runs there runs"
-    assert sick.name not in w.deleted
-    w.cancel("n0", "req-000001")
+    assert sick.name not in cluster.cloud.deleted
+    cluster.cancel("n0", "req-000001")
     for _ in range(20):
-        w.step()
-        w.fleet("n0")
-    assert sick.name in w.deleted
-
-
-def test_a_machine_that_has_stopped_is_replaced_at_once_its_replicas_too():
-    w = ordinary(3)
-    w.submit("n0", w.daemon(1, parts=1))
-    steps(w, 16)
-    name = next(iter(where(w)))
-    scheduler = w.nodes["n0"].scheduler
-    w.cut.add((name, "n0"))
-    failed = Listed(name, "", "small", w.workers[name].zone, False, "failed", 60.0)
-    scheduler.on_list([failed], w.clock.now)
-    w.fleet("n0")
-    steps(w, 4)
-    assert name in w.deleted and len(running(w)) == 1
-
-
-def test_a_job_that_fails_everywhere_closes_no_machine_to_services():
-    w = ordinary(3)
-    w.capacity = 0
-    w.submit("n0", w.daemon(1, parts=1))
-    steps(w, 16)
-    w.submit("n0", w.job(2, parts=1))
+        cluster.step()
+        cluster.cloud_step("n0")
+    assert sick.name in cluster.cloud.deleted
+
+
+def test_a_machine_that_has_stopped_is_replaced_at_once_its_replicas_too() -> None:
+    cluster = ordinary(3)
+    cluster.submit("n0", cluster.service(1, parts=1))
+    steps(cluster, 16)
+    name = next(iter(where(cluster)))
+    scheduler = cluster.nodes["n0"].scheduler
+    cluster.network_cuts.add((name, "n0"))
+    failed = Listed(name, "", "small", cluster.workers[name].zone, False, "failed", 60.0)
+    scheduler.on_list([failed], cluster.clock.now)
+    cluster.cloud_step("n0")
+    steps(cluster, 4)
+    assert name in cluster.cloud.deleted and len(running_tasks(cluster)) == 1
+
+
+def test_a_job_that_fails_everywhere_closes_no_machine_to_services() -> None:
+    cluster = ordinary(3)
+    cluster.cloud.capacity = 0
+    cluster.submit("n0", cluster.service(1, parts=1))
+    steps(cluster, 16)
+    cluster.submit("n0", cluster.job(2, parts=1))
     for _ in range(240):
-        for worker in w.workers.values():
+        for worker in cluster.workers.values():
             for task_id in worker.running():
                 if task_id.startswith("req-000002"):
                     worker.finish(task_id, "error")
-        w.step()
-    w.cancel("n0", "req-000002")
-    steps(w, 40)
-    w.submit("n0", w.daemon(4, parts=3))
-    steps(w, 6)
-    assert len(where(w, "req-000004")) >= 2 and len(running(w)) == 4
-
-
-def test_a_replica_of_a_lost_machine_runs_elsewhere_after_the_machine_is_surely_gone():
-    w = ordinary(3)
-    w.submit("n0", w.daemon(1))
-    steps(w, 4)
-    name = next(iter(where(w)))
-    lost = w.workers[name]
-    w.cut.add((name, "n0"))
+        cluster.step()
+    cluster.cancel("n0", "req-000002")
+    steps(cluster, 40)
+    cluster.submit("n0", cluster.service(4, parts=3))
+    steps(cluster, 6)
+    assert len(where(cluster, "req-000004")) >= 2 and len(running_tasks(cluster)) == 4
+
+
+def test_a_replica_of_a_lost_machine_runs_elsewhere_after_the_machine_is_surely_gone() -> None:
+    cluster = ordinary(3)
+    cluster.submit("n0", cluster.service(1))
+    steps(cluster, 4)
+    name = next(iter(where(cluster)))
+    lost = cluster.workers[name]
+    cluster.network_cuts.add((name, "n0"))
     for _ in range(60):
-        w.step()
-        w.fleet("n0")
-        if name not in w.workers:
+        cluster.step()
+        cluster.cloud_step("n0")
+        if name not in cluster.workers:
             break
-        assert len(running(w)) == 2 or not lost.running(), "started elsewhere only once it is gone"
-    steps(w, 4)
-    assert len(running(w)) == 2 and name in w.deleted
+        assert len(running_tasks(cluster)) == 2 or not lost.running(), (
+            "started elsewhere only once it is gone"
+        )
+    steps(cluster, 4)
+    assert len(running_tasks(cluster)) == 2 and name in cluster.cloud.deleted
 
 
 @pytest.mark.parametrize("owned", [True, False])
-def test_a_service_takes_room_from_work_of_lower_priority_also_under_its_teams_limit(owned):
+def test_a_service_takes_room_from_work_of_lower_priority_also_under_its_teams_limit(owned: bool) -> None:
     """Of its own team, when the limit is what binds; of others, when the machines are full."""
-    w = ordinary(2 if not owned else 4)
-    w.submit("n0", w.job(1, crew="red" if owned else "blue", parts=40))
-    steps(w, 4)
-    assert len(running(w)) == 8
-    w.submit("n0", w.daemon(2, crew="red", parts=3))
-    steps(w, 6)
-    assert len(where(w, "req-000002")) >= 2 and len(running(w)) == 8
-    assert sum(p.startswith("req-000002") for p in running(w)) == 3
-    steps(w, 20)
-    assert sum(p.startswith("req-000002") for p in running(w)) == 3, "and keeps it"
-
-
-def test_a_service_is_no_victim_of_another_whose_team_is_owed():
+    cluster = ordinary(2 if not owned else 4)
+    cluster.submit("n0", cluster.job(1, crew="red" if owned else "blue", parts=40))
+    steps(cluster, 4)
+    assert len(running_tasks(cluster)) == 8
+    cluster.submit("n0", cluster.service(2, crew="red", parts=3))
+    steps(cluster, 6)
+    assert len(where(cluster, "req-000002")) >= 2 and len(running_tasks(cluster)) == 8
+    assert sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 3
+    steps(cluster, 20)
+    assert sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 3, "and keeps it"
+
+
+def test_a_service_is_no_victim_of_another_whose_team_is_owed() -> None:
     """Its team was beyond its guarantee for the arrays beside it; the service was stopped and away for 9
     s."""
-    w = ordinary(2)
-    w.capacity = 0
-    w.submit("n0", w.daemon(1, crew="red", parts=4, cpus=2.0))
-    steps(w, 4)
-    before = where(w)
-    assert w.nodes["n0"].scheduler.state.quotas[0].exceeds_guarantee
-    w.submit("n0", w.daemon(2, crew="blue", parts=3, cpus=2.0))
-    steps(w, 30)
-    assert where(w) == before
-    assert len(running(w)) == 4, "room is rented for the other instead"
-
-
-def test_what_a_service_can_never_get_is_422():
-    w = ordinary()
-    node = w.nodes["n0"]
-    assert node.submit(w.daemon(1, parts=9))[0] == 422, "all its tasks together, in CPUs"
-    assert node.submit(w.daemon(1, parts=3, crew="blue", cards=1.0))[0] == 422, "and in cards"
-    assert node.submit(w.daemon(1, cpus=5.0, builds=["small"]))[0] == 422
-    assert node.submit(w.daemon(1, apart=True, yard="north"))[0] == 422, "half of them elsewhere"
-    assert node.submit(w.daemon(1, apart=True, together=True))[0] == 422
-    assert node.submit(w.daemon(1, apart=True, crew="blue", cards=1.0))[0] == 422, "cards are in one zone"
-    assert node.submit(w.daemon(1, apart=True, parts=1, yard="north"))[0] == 201
-    assert node.submit(w.job(2, apart=True, yard="north"))[0] == 201, "an array's may follow one another"
-
-
-def test_fields_that_mean_nothing_to_a_service_do_no_harm():
-    w = ordinary()
-    w.submit("n0", w.daemon(1, due_s=5.0, bookmark_s=10.0, stash_s=2.0, guess_s=30.0))
-    steps(w, 60)
-    assert w.query("n0", "req-000001") == "running" and len(running(w)) == 2
+    cluster = ordinary(2)
+    cluster.cloud.capacity = 0
+    cluster.submit("n0", cluster.service(1, crew="red", parts=4, cpus=2.0))
+    steps(cluster, 4)
+    before = where(cluster)
+    assert cluster.nodes["n0"].scheduler.state.quotas[0].exceeds_guarantee
+    cluster.submit("n0", cluster.service(2, crew="blue", parts=3, cpus=2.0))
+    steps(cluster, 30)
+    assert where(cluster) == before
+    assert len(running_tasks(cluster)) == 4, "room is rented for the other instead"
+
+
+def test_what_a_service_can_never_get_is_422() -> None:
+    cluster = ordinary()
+    node = cluster.nodes["n0"]
+    assert node.submit(cluster.service(1, parts=9))[0] == 422, "all its tasks together, in CPUs"
+    assert node.submit(cluster.service(1, parts=3, crew="blue", cards=1.0))[0] == 422, "and in cards"
+    assert node.submit(cluster.service(1, cpus=5.0, builds=["small"]))[0] == 422
+    assert node.submit(cluster.service(1, apart=True, yard="north"))[0] == 422, "half of them elsewhere"
+    assert node.submit(cluster.service(1, apart=True, together=True))[0] == 422
+    assert node.submit(cluster.service(1, apart=True, crew="blue", cards=1.0))[0] == 422, (
+        "cards are in one zone"
+    )
+    assert node.submit(cluster.service(1, apart=True, parts=1, yard="north"))[0] == 201
+    assert node.submit(cluster.job(2, apart=True, yard="north"))[0] == 201, (
+        "an array's may follow one another"
+    )
+
+
+def test_fields_that_mean_nothing_to_a_service_do_no_harm() -> None:
+    cluster = ordinary()
+    cluster.submit("n0", cluster.service(1, due_s=5.0, bookmark_s=10.0, stash_s=2.0, guess_s=30.0))
+    steps(cluster, 60)
+    assert cluster.query("n0", "req-000001") == "running" and len(running_tasks(cluster)) == 2
 
 
 @pytest.mark.parametrize("state", ["running", "resting", "in flight", "silent"])
-def test_a_cancelled_service_is_gone_in_time_whatever_its_replicas_are_doing(state):
-    w = ordinary()
-    w.submit("n0", w.daemon(1))
+def test_a_cancelled_service_is_gone_in_time_whatever_its_replicas_are_doing(state: str) -> None:
+    cluster = ordinary()
+    cluster.submit("n0", cluster.service(1))
     if state == "in flight":
-        node = w.nodes["n0"]
+        node = cluster.nodes["n0"]
         node.watch_cache.pull(0.0)
         node.scheduler.round()
         node.commit_once()
     else:
-        steps(w, 4)
+        steps(cluster, 4)
     if state == "resting":
         for _ in range(4):
-            for task_id in running(w):
-                for worker in w.workers.values():
+            for task_id in running_tasks(cluster):
+                for worker in cluster.workers.values():
                     worker.finish(task_id, "error")
-            w.step()
+            cluster.step()
     if state == "silent":
-        w.cut |= {(name, "n0") for name in where(w)}
-    assert w.cancel("n0", "req-000001") == "aborted"
+        cluster.network_cuts |= {(name, "n0") for name in where(cluster)}
+    assert cluster.cancel("n0", "req-000001") == "aborted"
     for _ in range(100):
-        w.step()  # checks `cancel_s`
-        w.fleet("n0")
-    assert running(w) == [] and not w.nodes["n0"].scheduler.state.jobs
+        cluster.step()  # checks `cancel_s`
+        cluster.cloud_step("n0")
+    assert running_tasks(cluster) == [] and not cluster.nodes["n0"].scheduler.state.jobs
 
 
-def test_a_failover_keeps_what_runs_and_starts_what_is_missing():
-    w = World(3)
+def test_a_failover_keeps_what_runs_and_starts_what_is_missing() -> None:
+    cluster = Cluster(3)
     for _ in range(3):
-        w.machine("small", "north", spot=False)
-    steps(w, 3)
-    w.submit("n0", w.daemon(1, parts=3))
-    steps(w, 4)
-    before = where(w)
-    w.workers[next(iter(before))].finish("req-000001/0", "error")
-    del w.nodes[w.leader()]
-    steps(w, 14)
-    after = where(w)
+        cluster.machine("small", "north", spot=False)
+    steps(cluster, 3)
+    cluster.submit("n0", cluster.service(1, parts=3))
+    steps(cluster, 4)
+    before = where(cluster)
+    cluster.workers[next(iter(before))].finish("req-000001/0", "error")
+    del cluster.nodes[cluster.leader()]
+    steps(cluster, 14)
+    after = where(cluster)
     assert sorted(p for parts in after.values() for p in parts) == [f"req-000001/{n}" for n in range(3)]
 
 
-def test_a_replica_that_ends_for_ever_grows_neither_the_task_log_nor_the_memory():
-    w = ordinary(2, value_kb=1.0)
-    w.submit("n0", w.daemon(1))
-    scheduler = w.nodes["n0"].scheduler
+def test_a_replica_that_ends_for_ever_grows_neither_the_task_log_nor_the_memory() -> None:
+    cluster = ordinary(2, value_kb=1.0)
+    cluster.submit("n0", cluster.service(1))
+    scheduler = cluster.nodes["n0"].scheduler
     rows = []
     for n in range(600):
-        for worker in w.workers.values():
+        for worker in cluster.workers.values():
             for task_id in worker.running():
                 worker.finish(task_id, "halted" if n % 2 else "error")
-        w.step(2.0)
-        rows.append(sum(key.startswith(records.LOG) for key in w.state.rows))
+        cluster.step(2.0)
+        rows.append(sum(key.startswith(records.LOG) for key in cluster.store.rows))
     assert max(rows[300:]) <= max(rows[:300]) <= 60
     job = scheduler.state.jobs["req-000001"]
-    progress = w.nodes["n0"].watch_cache.with_task_log(lambda task_log: task_log.jobs["req-000001"])
+    progress = cluster.nodes["n0"].watch_cache.with_task_log(lambda task_log: task_log.jobs["req-000001"])
     assert len(job.failed_on) <= 8 and len(job.consecutive_exits) <= 2 and len(progress.told) <= 2
     assert len(scheduler.state.recent_services) <= 1
-    for worker in w.workers.values():
-        worker.fails = False
-    steps(w, 80)
-    changed = w.state.rows.copy()
-    steps(w, 200)
-    log = [k for k, row in w.state.rows.items() if k.startswith(records.LOG) and changed.get(k) != row]
-    assert len(running(w)) == 2 and not log, "what runs and does not change is not written again"
-
-
-def test_room_is_launched_for_services_before_they_come_and_kept_while_they_stand():
-    w = ordinary(0)
-    scheduler = w.nodes["n0"].scheduler
+    for worker in cluster.workers.values():
+        worker.fails_starts = False
+    steps(cluster, 80)
+    changed = cluster.store.rows.copy()
+    steps(cluster, 200)
+    log = [k for k, row in cluster.store.rows.items() if k.startswith(records.LOG) and changed.get(k) != row]
+    assert len(running_tasks(cluster)) == 2 and not log, "what runs and does not change is not written again"
+
+
+def test_room_is_launched_for_services_before_they_come_and_kept_while_they_stand() -> None:
+    cluster = ordinary(0)
+    scheduler = cluster.nodes["n0"].scheduler
     scheduler.state.service_classes = {"desk"}  # as the aims of a site with services name them
-    w.fleet("n0")
-    assert {(x.kind.name, x.spot) for x in w.workers.values()} == {("small", False)}
-    floor = len(w.workers)
+    cluster.cloud_step("n0")
+    assert {(x.kind.name, x.spot) for x in cluster.workers.values()} == {("small", False)}
+    floor = len(cluster.workers)
     assert floor * 4.0 >= scheduler.policy.service_floor
-    steps(w, 3)
-    w.submit("n0", w.job(1, parts=30, crew="blue", loaners=True))
-    steps(w, 4)
-    assert len(running(w)) == 16, "work that may run anywhere runs there meanwhile, up to its team's limit"
-    w.submit("n0", w.daemon(2, parts=2, cpus=4.0))
-    steps(w, 6)
-    assert len(where(w, "req-000002")) == 2
-    w.fleet("n0")
-    steps(w, 4)
-    assert sum(not x.spot for x in w.workers.values()) > floor, "the reserve grows with what stands"
-    w.cancel("n0", "req-000001")
+    steps(cluster, 3)
+    cluster.submit("n0", cluster.job(1, parts=30, crew="blue", loaners=True))
+    steps(cluster, 4)
+    assert len(running_tasks(cluster)) == 16, (
+        "work that may run anywhere runs there meanwhile, up to its team's limit"
+    )
+    cluster.submit("n0", cluster.service(2, parts=2, cpus=4.0))
+    steps(cluster, 6)
+    assert len(where(cluster, "req-000002")) == 2
+    cluster.cloud_step("n0")
+    steps(cluster, 4)
+    assert sum(not x.spot for x in cluster.workers.values()) > floor, "the reserve grows with what stands"
+    cluster.cancel("n0", "req-000001")
     for _ in range(60):
-        w.step(2.0)
-        w.fleet("n0")
-    assert sum(not x.spot for x in w.workers.values()) >= floor, "empty machines of the reserve stay"
-    w.cancel("n0", "req-000002")
+        cluster.step(2.0)
+        cluster.cloud_step("n0")
+    assert sum(not x.spot for x in cluster.workers.values()) >= floor, "empty machines of the reserve stay"
+    cluster.cancel("n0", "req-000002")
     scheduler.state.service_classes = set()
     for _ in range(200):
-        w.step(1.0)
-        w.fleet("n0")
-    assert not w.workers, "and goes when nothing stands any more"
+        cluster.step(1.0)
+        cluster.cloud_step("n0")
+    assert not cluster.workers, "and goes when nothing stands any more"
 
 
-def test_machines_are_launched_in_the_zone_that_is_open_to_what_waits():
+def test_machines_are_launched_in_the_zone_that_is_open_to_what_waits() -> None:
     """Found by the random story: the last replica had to be apart, and 70 machines were launched beside the
     others."""
-    w = ordinary(0)
-    w.machine("small", "north", spot=False)
-    steps(w, 3)
-    w.submit("n0", w.daemon(1, parts=3, apart=True))
+    cluster = ordinary(0)
+    cluster.machine("small", "north", spot=False)
+    steps(cluster, 3)
+    cluster.submit("n0", cluster.service(1, parts=3, apart=True))
     for _ in range(12):
-        w.step()
-        w.fleet("n0")
-    assert len(running(w)) == 3
-    assert {w.workers[name].zone for name in where(w)} == {"north", "south"}
-    w.submit("n0", w.daemon(2, parts=3, together=True, cpus=2.0, crew="blue", yard="south"))
+        cluster.step()
+        cluster.cloud_step("n0")
+    assert len(running_tasks(cluster)) == 3
+    assert {cluster.workers[name].zone for name in where(cluster)} == {"north", "south"}
+    cluster.submit("n0", cluster.service(2, parts=3, together=True, cpus=2.0, crew="blue", yard="south"))
     for _ in range(12):
-        w.step()
-        w.fleet("n0")
-    assert len(running(w)) == 6
+        cluster.step()
+        cluster.cloud_step("n0")
+    assert len(running_tasks(cluster)) == 6
 
 
-def test_what_stands_is_held_by_so_many_machines_of_each_kind():
-    w = quiet()
-    types = w.nodes["n0"].scheduler.types
+def test_what_stands_is_held_by_so_many_machines_of_each_kind(cluster: Cluster) -> None:
+    types = cluster.nodes["n0"].scheduler.types
     small, cards = scaling.MachinePool(0, 0, False), scaling.MachinePool(1, 0, False)
     group = scaling.Group(frozenset({small, cards}), {0: 6.0, 1: 3.0})
     none: frozenset[scaling.MachinePool] = frozenset()
@@ -350,10 +357,9 @@
     assert scaling.plan_service_launches([group], types, {small: 3, cards: 2}, none) == []
 
 
-def test_a_replica_goes_where_its_image_is_but_not_beside_another_of_its_job():
-    w = quiet()
-    node = w.nodes["n0"]
-    w.submit("n0", w.daemon(1))
+def test_a_replica_goes_where_its_image_is_but_not_beside_another_of_its_job(cluster: Cluster) -> None:
+    node = cluster.nodes["n0"]
+    cluster.submit("n0", cluster.service(1))
     node.watch_cache.pull(0.0)
     job = node.scheduler.state.jobs["req-000001"]
     has = Machine(0, "has", images={job.image: True}, free_cpus=4.0)
@@ -370,37 +376,39 @@
     assert placement_rules.steady(has, 101.0 + placement_rules.DOUBT_S, 500.0), "but that is forgotten"
 
 
-def test_the_balancer_moves_a_replica_for_no_lesser_work_and_only_to_its_image():
-    w = ordinary(1)
-    w.capacity = 0
-    w.submit("n0", w.daemon(1, crew="blue", parts=1))
-    steps(w, 16)
-    here = next(iter(where(w)))
+def test_the_balancer_moves_a_replica_for_no_lesser_work_and_only_to_its_image() -> None:
+    cluster = ordinary(1)
+    cluster.cloud.capacity = 0
+    cluster.submit("n0", cluster.service(1, crew="blue", parts=1))
+    steps(cluster, 16)
+    here = next(iter(where(cluster)))
     for _ in range(2):
-        w.machine("cards", "north", spot=False)
-    steps(w, 3)
-    w.submit("n0", w.daemon(5, crew="blue", parts=1, cpus=8.0, builds=["cards"], bundle="img-2"))
-    steps(w, 3)
-    w.submit("n0", w.daemon(3, crew="blue", parts=1, cpus=4.0, builds=["small"]))
-    steps(w, 30)
-    assert list(where(w)) == [here], "no gap as long as a fetch"
-    w.cancel("n0", "req-000003")
-    w.submit("n0", w.job(2, crew="blue", parts=1, cpus=4.0, builds=["small"], rank="urgent"))
-    w.submit("n0", w.daemon(4, crew="blue", parts=1, cpus=0.5, builds=["cards"]))  # it brings the image there
-    steps(w, 30)
-    assert list(where(w)) == [here], "nor any for what may wait"
-    w.submit("n0", w.daemon(6, crew="blue", parts=1, cpus=4.0, builds=["small"]))
-    steps(w, 30)
-    assert list(where(w)) != [here] and list(where(w, "req-000006")) == [here]
-    assert w.nodes["n0"].scheduler.state.moves == 1
-
-
-def test_the_readme_s_daemon_can_be_submitted_looked_at_and_called_off():
+        cluster.machine("cards", "north", spot=False)
+    steps(cluster, 3)
+    cluster.submit("n0", cluster.service(5, crew="blue", parts=1, cpus=8.0, builds=["cards"], bundle="img-2"))
+    steps(cluster, 3)
+    cluster.submit("n0", cluster.service(3, crew="blue", parts=1, cpus=4.0, builds=["small"]))
+    steps(cluster, 30)
+    assert list(where(cluster)) == [here], "no gap as long as a fetch"
+    cluster.cancel("n0", "req-000003")
+    cluster.submit("n0", cluster.job(2, crew="blue", parts=1, cpus=4.0, builds=["small"], rank="urgent"))
+    cluster.submit(
+        "n0", cluster.service(4, crew="blue", parts=1, cpus=0.5, builds=["cards"])
+    )  # it brings the image there
+    steps(cluster, 30)
+    assert list(where(cluster)) == [here], "nor any for what may wait"
+    cluster.submit("n0", cluster.service(6, crew="blue", parts=1, cpus=4.0, builds=["small"]))
+    steps(cluster, 30)
+    assert list(where(cluster)) != [here] and list(where(cluster, "req-000006")) == [here]
+    assert cluster.nodes["n0"].scheduler.state.moves == 1
+
+
+def test_the_readme_s_daemon_can_be_submitted_looked_at_and_called_off() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     body = text.split("echo '")[1].split("' > daemon.json")[0].replace("TEAM", "red").encode()
-    w = ordinary()
-    assert w.submit("n0", body) == 201
-    assert w.query("n0", "req-web1") == "pending"
-    steps(w, 4)
-    assert w.query("n0", "req-web1") == "running" and len(running(w)) == 2
-    assert w.cancel("n0", "req-web1") == "aborted"
+    cluster = ordinary()
+    assert cluster.submit("n0", body) == 201
+    assert cluster.query("n0", "req-web1") == "pending"
+    steps(cluster, 4)
+    assert cluster.query("n0", "req-web1") == "running" and len(running_tasks(cluster)) == 2
+    assert cluster.cancel("n0", "req-web1") == "aborted"
--- a/tests/test_tempered.py
+++ b/tests/test_tempered.py
@@ -17,32 +17,32 @@
     return Host(index, cpus, (cpus - used, 0.0, cpus - used), tasks)
 
 
-def test_imbalance_is_equation_1():
+def test_imbalance_is_equation_1() -> None:
     assert tempered.imbalance([1.0, 1.0, 1.0]) == 0.0
     assert tempered.imbalance([2.0, 1.0, 0.0]) == pytest.approx(1.0)
     assert tempered.imbalance([0.0, 0.0]) == 0.0
 
 
-def test_the_modified_cmf_weighs_by_headroom_below_the_highest_load():
+def test_the_modified_cmf_weighs_by_headroom_below_the_highest_load() -> None:
     # ls = max(average 0.5, highest 0.8) = 0.8: weights 0.75, 0.25 and 0
     assert tempered.build_cmf([0.2, 0.6, 0.8]) == pytest.approx([0.75, 1.0, 1.0])
     assert tempered.build_cmf([0.5, 0.5]) == [], "nobody is below the scale"
     assert tempered.build_cmf([0.0, 0.0]) == pytest.approx([0.5, 1.0])
 
 
-def test_no_weight_is_negative_when_a_target_is_above_the_average():
+def test_no_weight_is_negative_when_a_target_is_above_the_average() -> None:
     cmf = tempered.build_cmf([0.1, 0.9])
     assert cmf == sorted(cmf) and cmf[-1] == pytest.approx(1.0)
     rng = random.Random(3)
     assert {tempered.sample(cmf, rng) for _ in range(50)} == {0}, "the hottest is never drawn"
 
 
-def test_the_relaxed_criterion_is_the_load_gap():
+def test_the_relaxed_criterion_is_the_load_gap() -> None:
     assert tempered.criterion(0.29, 0.9, 0.6)
     assert not tempered.criterion(0.3, 0.9, 0.6)
 
 
-def test_fewest_migrations_order():
+def test_fewest_migrations_order() -> None:
     items = [Item((f"t{n}", 1), (c, 0.0, 0.0)) for n, c in enumerate([1, 5, 3, 2, 8])]
     loads = [i.need[0] for i in tempered.order_fewest(items, lambda i: i.need[0], 2.5)]
     assert loads == [3, 2, 1, 5, 8], "smallest that suffices, lighter falling, heavier rising"
@@ -52,7 +52,7 @@
     assert loads[0] == 5, "exactly the needed room suffices"
 
 
-def test_a_worked_example_moves_one_task():
+def test_a_worked_example_moves_one_task() -> None:
     hosts = [host(0, 4, 2, 1, 1), host(1, 4, 1), host(2, 4, 2)]
     plan = tempered.free_room(hosts, 0, (2.0, 0.0, 2.0), Counts(8, 3, 3), ANY, random.Random(1))
     assert plan is not None
@@ -63,7 +63,7 @@
     assert [len(h.items) for h in hosts] == [3, 1, 1], "the picture itself is untouched"
 
 
-def test_every_resource_must_fit_and_the_job_must_allow_the_target():
+def test_every_resource_must_fit_and_the_job_must_allow_the_target() -> None:
     hosts = [host(0, 4, 2, 2), host(1, 4)]
     hosts[1].free = (4.0, 0.0, 1.0)
     counts = Counts(8, 3, 3)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_highest_load_never_rises_through_an_accepted_move(seed):
+def test_the_highest_load_never_rises_through_an_accepted_move(seed: int) -> None:
     """Lemma 1, for the machines in the snapshot, of different sizes too."""
     rng = random.Random(seed)
     hosts = [
@@ -93,7 +93,7 @@
             break
 
 
-def test_best_of_trials_is_no_worse_than_any_single_trial():
+def test_best_of_trials_is_no_worse_than_any_single_trial() -> None:
     hosts = [host(0, 8, 3, 3), host(1, 8, 2), host(2, 8, 1), host(3, 8, 4)]
     need = (5.0, 0.0, 5.0)
     rng = random.Random(5)
@@ -106,5 +106,5 @@
     assert len(set(found)) > 1, "the trials differ, so the choice matters"
 
 
-def test_the_budget_rounds_up_so_one_moves_while_any_runs():
+def test_the_budget_rounds_up_so_one_moves_while_any_runs() -> None:
     assert [tempered.budget(n, 0.02) for n in (0, 1, 50, 51, 150)] == [0, 1, 1, 2, 3]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -6,8 +6,8 @@
 import msgspec
 import orjson
 import pytest
-from test_stories import quiet, running
-from world import World
+from fakes.cluster import Cluster
+from fakes.scenarios import running_tasks, started_cluster
 
 from bayford.coordination.store_limits import StoreLimits
 from bayford.coordination.workers.relay import heartbeats_in
@@ -43,7 +43,7 @@
 # -- formats ---------------------------------------------------------------------------------------------
 
 
-def test_records_of_production_are_read_and_written_back_as_they_were():
+def test_records_of_production_are_read_and_written_back_as_they_were() -> None:
     for value in GOLDEN["records"]:
         record = records.decode(value)
         assert records.encode(record) == value, "an old reader takes no other fields, and no fewer"
@@ -52,7 +52,7 @@
     assert not array.over and daemon.spec.shape == "service" and daemon.spec.tasks == 6
 
 
-def test_rows_of_production_add_up_and_a_short_row_after_them_has_their_form():
+def test_rows_of_production_add_up_and_a_short_row_after_them_has_their_form() -> None:
     found = golden_task_log()
     assert told(found) == GOLDEN["state"]
     assert [
@@ -81,7 +81,7 @@
     assert max(len(orjson.dumps(value)) for _, _, value in rows if value["n"] >= fresh.tail) <= 2048
 
 
-def test_relay_texts_summaries_status_and_answers_of_production_are_read_and_still_written_so():
+def test_relay_texts_summaries_status_and_answers_of_production_are_read_and_still_written_so() -> None:
     name, heartbeats = heartbeats_in(Row("b/relay/n2/0", GOLDEN["relay"], 5), GOLDEN["relay"]["at"])
     assert name == "n2" and [msgspec.to_builtins(r) for r in heartbeats] == [GOLDEN["report"]]
     assert mesh.pack_heartbeats(heartbeats, 2000) == [GOLDEN["relay"]["reports"]]
@@ -103,39 +103,41 @@
     assert orjson.loads(workers.redirect("n2")) == GOLDEN["redirect"]
 
 
-def test_the_leadership_record_and_the_members_keep_the_form_that_an_old_controller_compares():
-    w = quiet(nodes=2)
-    assert shape(w.state.rows["b/map"][0]).keys() == shape(GOLDEN["map"]).keys()
-    for name in w.nodes:
-        assert isinstance(w.state.rows[f"b/member/{name}"][0], str) and isinstance(GOLDEN["member"], str)
+def test_the_leadership_record_and_the_members_keep_the_form_that_an_old_controller_compares() -> None:
+    cluster = started_cluster(nodes=2)
+    assert shape(cluster.store.rows["b/map"][0]).keys() == shape(GOLDEN["map"]).keys()
+    for name in cluster.nodes:
+        assert isinstance(cluster.store.rows[f"b/member/{name}"][0], str) and isinstance(
+            GOLDEN["member"], str
+        )
 
 
-def test_a_leadership_record_with_many_teams_is_cut_to_what_every_version_reads():
-    w = quiet(nodes=2)
-    node = w.nodes["n0"]
+def test_a_leadership_record_with_many_teams_is_cut_to_what_every_version_reads() -> None:
+    cluster = started_cluster(nodes=2)
+    node = cluster.nodes["n0"]
     node.membership._teams = [f"team-{n:03d}-of-a-long-name" for n in range(200)]
-    node.limits.value_bytes = w.state.value_bytes = 1024
+    node.limits.value_bytes = cluster.store.value_bytes = 1024
     assert node.membership.acquire_leadership("n0")
-    value = w.state.rows["b/map"][0]
+    value = cluster.store.rows["b/map"][0]
     leader = next(iter(value["owners"].values()))  # as production reads it
     assert leader == "n0" and value["members"][leader] == node.incarnation
-    w.step()
-    assert w.leader() == "n0"
+    cluster.step()
+    assert cluster.leader() == "n0"
 
 
-def load(w: World, tasks: int) -> None:
+def load(cluster: Cluster, tasks: int) -> None:
     """Four machines, an array of small tasks and a service beside it."""
     for _ in range(4):
-        w.machine()
-    w.submit("n0", w.job(1, parts=tasks, crew="blue", cpus=0.25))
-    w.submit("n0", w.daemon(2, loaners=True))
+        cluster.machine()
+    cluster.submit("n0", cluster.job(1, parts=tasks, crew="blue", cpus=0.25))
+    cluster.submit("n0", cluster.service(2, loaners=True))
 
 
 # -- limits ----------------------------------------------------------------------------------------------
 
 
-def test_the_smaller_of_both_limits_is_kept_to_and_each_may_be_absent_or_larger():
-    state = quiet().settings("n0").facts.state
+def test_the_smaller_of_both_limits_is_kept_to_and_each_may_be_absent_or_larger() -> None:
+    state = started_cluster().settings("n0").facts.state
     coming = msgspec.convert({"value_kb": 2.0, "txn_ops": 40}, type(state).__annotations__["next"])
     limits = StoreLimits(msgspec.structs.replace(state, next=coming))
     assert (limits.value_bytes, limits.txn_ops, limits.write_rps, limits.layout_bytes) == (
@@ -147,247 +149,252 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_limits_that_fall_under_full_load_stop_nothing(known):
+def test_limits_that_fall_under_full_load_stop_nothing(known: bool) -> None:
     """Unless it is known beforehand, what is refused for its size must not be tried for ever as it is."""
-    w = quiet(machines=0, value_kb=1.5, coming="value_kb = 0.5\ntxn_ops = 4" if known else "")
-    load(w, 200)
+    cluster = started_cluster(
+        machines=0, value_kb=1.5, next_limits="value_kb = 0.5\ntxn_ops = 4" if known else ""
+    )
+    load(cluster, 200)
     for _ in range(4):
-        w.step()
-    w.state.value_bytes, w.state.txn_ops = 512, 4
+        cluster.step()
+    cluster.store.value_bytes, cluster.store.txn_ops = 512, 4
     for _ in range(40):
-        for task_id in running(w):
+        for task_id in running_tasks(cluster):
             if task_id.startswith("req-000001"):
-                w.finish(task_id)
-        w.step()
-    assert w.query("n0", "req-000001") == "done"
-    assert [p for p in running(w) if p.startswith("req-000002")] == ["req-000002/0", "req-000002/1"]
-    assert w.cancel("n0", "req-000002") == "aborted"
+                cluster.finish(task_id)
+        cluster.step()
+    assert cluster.query("n0", "req-000001") == "done"
+    assert [p for p in running_tasks(cluster) if p.startswith("req-000002")] == [
+        "req-000002/0",
+        "req-000002/1",
+    ]
+    assert cluster.cancel("n0", "req-000002") == "aborted"
     for _ in range(4):
-        w.step()
-    assert running(w) == []
-    assert (w.state.refused == 0) is known
-    assert w.state.refused < 12
+        cluster.step()
+    assert running_tasks(cluster) == []
+    assert (cluster.store.too_large_count == 0) is known
+    assert cluster.store.too_large_count < 12
 
 
-def test_a_record_accepted_under_the_old_limit_is_rewritten_in_what_fits():
+def test_a_record_accepted_under_the_old_limit_is_rewritten_in_what_fits() -> None:
     long = "x" * 190
-    w = quiet(machines=2, value_kb=2.0)
-    w.submit("n0", w.job(1, lane=long, bundle=long, cpus=4.0))
-    w.submit("n0", w.job(2, lane=long, bundle=long))
+    cluster = started_cluster(machines=2, value_kb=2.0)
+    cluster.submit("n0", cluster.job(1, lane=long, bundle=long, cpus=4.0))
+    cluster.submit("n0", cluster.job(2, lane=long, bundle=long))
     for _ in range(3):
-        w.step()
-    w.state.value_bytes = 400
-    assert w.cancel("n0", "req-000002") is None, "refused as it stands"
-    w.nodes["n0"].limits.value_bytes = 400
-    assert w.cancel("n0", "req-000002") == "aborted"
-    for task_id in running(w):
-        w.finish(task_id)
+        cluster.step()
+    cluster.store.value_bytes = 400
+    assert cluster.cancel("n0", "req-000002") is None, "refused as it stands"
+    cluster.nodes["n0"].limits.value_bytes = 400
+    assert cluster.cancel("n0", "req-000002") == "aborted"
+    for task_id in running_tasks(cluster):
+        cluster.finish(task_id)
     for _ in range(6):
-        w.step()
-        for task_id in running(w):
-            w.finish(task_id)
-    assert w.query("n0", "req-000001") == "done"
-    w.boot("n0")  # and what is left of it is still read
+        cluster.step()
+        for task_id in running_tasks(cluster):
+            cluster.finish(task_id)
+    assert cluster.query("n0", "req-000001") == "done"
+    cluster.boot("n0")  # and what is left of it is still read
     for _ in range(12):
-        w.step()
-    assert w.query("n0", "req-000001") == "done"
-    assert w.query("n0", "req-000002") == "aborted"
+        cluster.step()
+    assert cluster.query("n0", "req-000001") == "done"
+    assert cluster.query("n0", "req-000002") == "aborted"
 
 
-def test_a_submission_that_can_not_be_kept_under_the_limit_to_come_is_refused_for_good():
-    w = quiet(coming="value_kb = 0.5")
-    status, body, _ = w.nodes["n0"].submit(w.job(1, lane="x" * 200, bundle="é" * 200))
+def test_a_submission_that_can_not_be_kept_under_the_limit_to_come_is_refused_for_good() -> None:
+    cluster = started_cluster(next_limits="value_kb = 0.5")
+    status, body, _ = cluster.nodes["n0"].submit(cluster.job(1, lane="x" * 200, bundle="é" * 200))
     assert status == 400 and b"bytes" in body
-    assert w.nodes["n0"].query("req-000001")[0] == 404
-    assert w.submit("n0", w.job(2)) == 201
+    assert cluster.nodes["n0"].query("req-000001")[0] == 404
+    assert cluster.submit("n0", cluster.job(2)) == 201
 
 
-def test_a_relay_row_that_is_refused_does_not_keep_the_others_from_being_written():
-    w = quiet()
-    node = w.nodes["n0"]
-    w.state.txn_ops, w.state.value_bytes = 2, 300
+def test_a_relay_row_that_is_refused_does_not_keep_the_others_from_being_written(cluster: Cluster) -> None:
+    node = cluster.nodes["n0"]
+    cluster.store.txn_ops, cluster.store.value_bytes = 2, 300
     node._put_all(
         [
             load_summary.Put(f"b/relay/n0/{n}", {"at": 1.0, "reports": "x" * size})
             for n, size in enumerate([10, 20, 900, 30])
         ]
     )
-    assert [k for k in w.state.rows if k.startswith("b/relay")] == [
+    assert [k for k in cluster.store.rows if k.startswith("b/relay")] == [
         "b/relay/n0/0",
         "b/relay/n0/1",
         "b/relay/n0/3",
     ]
 
 
-def test_a_summary_is_written_value_by_value_and_a_refusal_costs_one():
+def test_a_summary_is_written_value_by_value_and_a_refusal_costs_one() -> None:
     """All values at once, tried again and again on credit, took the whole rate: nothing was committed for 66
     s."""
-    w = quiet(machines=40, value_kb=0.5, writes=15.0)
-    node = w.nodes["n0"]
-    for worker in w.workers.values():
-        w.heartbeat(worker)
+    cluster = started_cluster(machines=40, value_kb=0.5, writes=15.0)
+    node = cluster.nodes["n0"]
+    for worker in cluster.workers.values():
+        cluster.heartbeat(worker)
     before = node.writes.available()
-    w.state.refuses.add("n0")
+    cluster.store.unavailable_to.add("n0")
     for _ in range(20):
-        w.try_(node.summary_step)
+        cluster.try_step(node.summary_step)
     assert before - node.writes.available() <= 20
-    w.state.refuses.clear()
-    rows = len([k for k in w.state.rows if k.startswith(records.SUMMARIES)])
+    cluster.store.unavailable_to.clear()
+    rows = len([k for k in cluster.store.rows if k.startswith(records.SUMMARIES)])
     node.summary_step()
-    assert len([k for k in w.state.rows if k.startswith(records.SUMMARIES)]) <= rows + 1
+    assert len([k for k in cluster.store.rows if k.startswith(records.SUMMARIES)]) <= rows + 1
 
 
-def test_the_layout_outlives_settings_with_a_new_limit():
+def test_the_layout_outlives_settings_with_a_new_limit() -> None:
     """The number of a block follows from the size of a value once and for all; read with another, the
     snapshots of tasks that run would name other tasks."""
-    w = quiet(machines=0, value_kb=1.5)
-    load(w, 90)  # so many that the log is long enough for snapshots
+    cluster = started_cluster(machines=0, value_kb=1.5)
+    load(cluster, 90)  # so many that the log is long enough for snapshots
     for _ in range(60):
-        w.step()
-        for task_id in running(w):
-            if task_id.startswith("req-000001") and w.rng.random() < 0.1:
-                w.finish(task_id)
-    before = w.nodes["n0"].watch_cache.with_task_log(told)
-    assert any("s" in row[0] for key, row in w.state.rows.items() if key.startswith(records.LOG))
-    w.value_kb = 0.6
-    node = w.boot("n0")
+        cluster.step()
+        for task_id in running_tasks(cluster):
+            if task_id.startswith("req-000001") and cluster.rng.random() < 0.1:
+                cluster.finish(task_id)
+    before = cluster.nodes["n0"].watch_cache.with_task_log(told)
+    assert any("s" in row[0] for key, row in cluster.store.rows.items() if key.startswith(records.LOG))
+    cluster.value_kb = 0.6
+    node = cluster.boot("n0")
     assert node.limits.value_bytes == 614
     assert node.watch_cache.with_task_log(told) == before
     for _ in range(30):
-        w.step()
-        for task_id in running(w):
+        cluster.step()
+        for task_id in running_tasks(cluster):
             if task_id.startswith("req-000001"):
-                w.finish(task_id)
-    assert w.query("n0", "req-000001") == "done"
+                cluster.finish(task_id)
+    assert cluster.query("n0", "req-000001") == "done"
 
 
-def test_a_layout_that_can_not_be_read_is_no_reason_to_guess():
-    w = quiet(nodes=2)
-    w.submit("n0", w.job(1))
-    w.state._change([load_summary.Put(records.LAYOUT, "oops")])
-    for name in w.nodes:
-        w.boot(name)
+def test_a_layout_that_can_not_be_read_is_no_reason_to_guess() -> None:
+    cluster = started_cluster(nodes=2)
+    cluster.submit("n0", cluster.job(1))
+    cluster.store._change([load_summary.Put(records.LAYOUT, "oops")])
+    for name in cluster.nodes:
+        cluster.boot(name)
     for _ in range(10):
-        w.step()
-    assert w.leader() is None and {w.nodes[n].query("req-000001")[0] for n in w.nodes} == {503}
+        cluster.step()
+    assert cluster.leader() is None and {cluster.nodes[n].query("req-000001")[0] for n in cluster.nodes} == {
+        503
+    }
 
 
 # -- who takes over --------------------------------------------------------------------------------------
 
 
-def upgrading(machines: int = 2) -> World:
+def upgrading(machines: int = 2) -> Cluster:
     """Three old controllers, an old leader, and work that runs."""
-    w = World(3, coming=COMING, old=["n0", "n1", "n2"])
+    cluster = Cluster(3, next_limits=COMING, old_release=["n0", "n1", "n2"])
     for _ in range(machines):
-        w.machine()
-    w.submit("n0", w.job(1, parts=3))
+        cluster.machine()
+    cluster.submit("n0", cluster.job(1, parts=3))
     for _ in range(4):
-        w.step()
-    assert w.leader() == "n0" and len(running(w)) == 3
-    return w
+        cluster.step()
+    assert cluster.leader() == "n0" and len(running_tasks(cluster)) == 3
+    return cluster
 
 
-def renew(w: World, name: str) -> None:
+def renew(cluster: Cluster, name: str) -> None:
     """It is killed and comes back with the new version, a while later."""
-    del w.nodes[name]
+    del cluster.nodes[name]
     for _ in range(8):
-        w.step()
-    w.old.discard(name)
-    w.boot(name)
+        cluster.step()
+    cluster.old_release.discard(name)
+    cluster.boot(name)
 
 
-def test_the_first_new_controller_takes_over_from_an_old_leader_and_it_is_the_only_failover():
-    w = upgrading()
-    fencing_token = w.nodes["n0"].membership.record.fencing_token
+def test_the_first_new_controller_takes_over_from_an_old_leader_and_it_is_the_only_failover() -> None:
+    cluster = upgrading()
+    fencing_token = cluster.nodes["n0"].membership.record.fencing_token
     for name in ("n2", "n1", "n0"):
-        renew(w, name)
+        renew(cluster, name)
         for _ in range(20):
-            w.step()
-        assert w.leader() == "n2", "not handed to one that is still to go, nor back"
-        assert len(running(w)) == 3
-    assert w.nodes["n2"].membership.record.fencing_token == fencing_token + 1
-    assert not w.nodes["n0"].peers.older() and not w.nodes["n2"].peers.older()
+            cluster.step()
+        assert cluster.leader() == "n2", "not handed to one that is still to go, nor back"
+        assert len(running_tasks(cluster)) == 3
+    assert cluster.nodes["n2"].membership.record.fencing_token == fencing_token + 1
+    assert not cluster.nodes["n0"].peers.older() and not cluster.nodes["n2"].peers.older()
 
 
-def test_no_failover_from_an_old_leader_while_anybody_is_out_of_reach():
-    w = upgrading()
-    renew(w, "n2")
+def test_no_failover_from_an_old_leader_while_anybody_is_out_of_reach() -> None:
+    cluster = upgrading()
+    renew(cluster, "n2")
     for _ in range(3):
-        w.step()  # it has heard them all
-    w.mesh_cut.add("n1")
+        cluster.step()  # it has heard them all
+    cluster.mesh_cuts.add("n1")
     for _ in range(20):
-        w.step()
-    assert w.leader() == "n0"
-    w.mesh_cut.clear()
+        cluster.step()
+    assert cluster.leader() == "n0"
+    cluster.mesh_cuts.clear()
     for _ in range(4):
-        w.step()
-    assert w.leader() == "n2"
+        cluster.step()
+    assert cluster.leader() == "n2"
 
 
-def test_a_new_controller_comes_before_an_old_one_when_the_leader_is_gone():
-    w = upgrading()
-    renew(w, "n1")
-    w.mesh_cut.add("n2")  # so that it does not take over while the leader lives
-    w.step()
-    new, old = w.nodes["n1"].membership, w.nodes["n2"].membership
+def test_a_new_controller_comes_before_an_old_one_when_the_leader_is_gone() -> None:
+    cluster = upgrading()
+    renew(cluster, "n1")
+    cluster.mesh_cuts.add("n2")  # so that it does not take over while the leader lives
+    cluster.step()
+    new, old = cluster.nodes["n1"].membership, cluster.nodes["n2"].membership
     assert new.failover_delay_s() < old.failover_delay_s() and new.failover_delay_s() == 0.0
-    w.old.discard("n0")  # as if n0 were new, too
-    w.nodes["n1"].peers.releases["n0"] = mesh.RELEASE
+    cluster.old_release.discard("n0")  # as if n0 were new, too
+    cluster.nodes["n1"].peers.releases["n0"] = mesh.RELEASE
     assert new.failover_delay_s() > 0.0
 
 
-def test_a_controller_that_comes_back_old_within_an_instant_takes_nothing_and_loses_nothing():
-    w = upgrading()
-    renew(w, "n2")
+def test_a_controller_that_comes_back_old_within_an_instant_takes_nothing_and_loses_nothing() -> None:
+    cluster = upgrading()
+    renew(cluster, "n2")
     for _ in range(20):
-        w.step()
-    assert w.leader() == "n2"
-    w.boot("n0")  # old, since its turn has not come
-    w.boot("n0")
+        cluster.step()
+    assert cluster.leader() == "n2"
+    cluster.boot("n0")  # old, since its turn has not come
+    cluster.boot("n0")
     for _ in range(10):
-        w.step()
-    assert w.leader() == "n2" and len(running(w)) == 3
+        cluster.step()
+    assert cluster.leader() == "n2" and len(running_tasks(cluster)) == 3
     # An old leader of what a new one wrote, and a new one of what an old one wrote.
-    del w.nodes["n2"], w.nodes["n1"]
+    del cluster.nodes["n2"], cluster.nodes["n1"]
     for _ in range(12):
-        w.step()
-    assert w.leader() == "n0" and len(running(w)) == 3
-    w.submit("n0", w.job(2, parts=2))
+        cluster.step()
+    assert cluster.leader() == "n0" and len(running_tasks(cluster)) == 3
+    cluster.submit("n0", cluster.job(2, parts=2))
     for _ in range(4):
-        w.step()
-    w.old.clear()
+        cluster.step()
+    cluster.old_release.clear()
     for name in ("n1", "n2", "n0"):
-        w.boot(name)
+        cluster.boot(name)
     for _ in range(16):
-        w.step()
-    assert len(running(w)) == 5
-    for task_id in running(w):
-        w.finish(task_id)
+        cluster.step()
+    assert len(running_tasks(cluster)) == 5
+    for task_id in running_tasks(cluster):
+        cluster.finish(task_id)
     for _ in range(4):
-        w.step()
-    assert {w.query(name, f"req-00000{n}") for name in w.nodes for n in (1, 2)} == {"done"}
+        cluster.step()
+    assert {cluster.query(name, f"req-00000{n}") for name in cluster.nodes for n in (1, 2)} == {"done"}
 
 
-def test_too_large_is_told_from_an_outage():
-    w = quiet()
-    w.state.value_bytes = 10
+def test_too_large_is_told_from_an_outage(cluster: Cluster) -> None:
+    cluster.store.value_bytes = 10
     with pytest.raises(TooLargeError):
-        w.nodes["n0"].store.compare_and_swap({}, [load_summary.Put("b/x", "y" * 20)])
-    assert w.nodes["n0"].limits.value_bytes == 8192, "only a commit of the owner's teaches"
+        cluster.nodes["n0"].store.compare_and_swap({}, [load_summary.Put("b/x", "y" * 20)])
+    assert cluster.nodes["n0"].limits.value_bytes == 8192, "only a commit of the owner's teaches"
 
 
-def test_an_old_leader_is_not_told_of_cancellations_and_stops_their_tasks_all_the_same():
+def test_an_old_leader_is_not_told_of_cancellations_and_stops_their_tasks_all_the_same() -> None:
     """Release 1 knows no such news and answers 404, which counts as told: its own watch tells it."""
-    w = upgrading()
-    renew(w, "n2")
-    assert w.leader() in w.old and "n2" not in w.old
-    w.nodes["n2"].notices.notify = {
-        name: lambda told: last_heartbeat_at.append(told) or True for name in w.old
+    cluster = upgrading()
+    renew(cluster, "n2")
+    assert cluster.leader() in cluster.old_release and "n2" not in cluster.old_release
+    cluster.nodes["n2"].notices.notify = {
+        name: lambda told: last_heartbeat_at.append(told) or True for name in cluster.old_release
     }
     last_heartbeat_at: list[dict] = []
-    assert w.cancel("n2", "req-000001") == "aborted"
-    assert w.nodes["n2"].notices.send() and w.nodes["n2"].notices.send()
+    assert cluster.cancel("n2", "req-000001") == "aborted"
+    assert cluster.nodes["n2"].notices.send() and cluster.nodes["n2"].notices.send()
     assert [list(told) for told in last_heartbeat_at] == [["req-000001"]], "once, and not again and again"
     for _ in range(4):
-        w.step()
-    assert not running(w)
+        cluster.step()
+    assert not running_tasks(cluster)
