--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -4,12 +4,12 @@
 from pathlib import Path
 
 import pytest
-from world import SETTINGS
+from fakes.cluster import SETTINGS
 
 from bayford import cli, config
 from bayford.script import evaluate, load
 
-GOOD = SETTINGS.format(name="n9", zone="north", writes=15.0, value_kb=8.0, cancel_s=42.0, coming="")
+GOOD = SETTINGS.format(name="n9", zone="north", writes=15.0, value_kb=8.0, cancel_s=42.0, next_limits="")
 LIMITS = "[facts.machine_limits]\ncore_share = 0.18\nmem_mb = 146.0\nfd_limit = 900\n"
 AIM = '[[facts.objectives]]\nkind = "finished"\nclass = "sweep"\nwithin_s = 80.0\nshare = 0.8\n'
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -2,8 +2,9 @@
 
 import orjson
 import pytest
-from test_stories import quiet, running, wait
-from world import Worker, World
+from fakes.cluster import Cluster
+from fakes.scenarios import run_for, running_tasks, started_cluster
+from fakes.worker import FakeWorker
 
 from bayford.clock import NEVER
 from bayford.coordination.leadership.transfer import WorkerContact, successor
@@ -14,41 +15,41 @@
 OTHERS = {"n1", "n2"}
 
 
-def cut_off(cluster: World, node: str) -> None:
+def cut_off(cluster: Cluster, node: str) -> None:
     """No worker reaches this controller any more."""
-    cluster.cut |= {(name, node) for name in cluster.workers}
+    cluster.network_cuts |= {(name, node) for name in cluster.workers}
 
 
-def busy_cluster(parts: int = 12, machines: int = 3) -> tuple[World, str]:
+def busy_cluster(parts: int = 12, machines: int = 3) -> tuple[Cluster, str]:
     """Three controllers, machines that are full as a rule, and a leader in charge for longer than a lease."""
-    cluster = quiet(machines=machines, nodes=3)
+    cluster = started_cluster(machines=machines, nodes=3)
     cluster.submit("n0", cluster.job(1, crew="open", parts=parts, guess_s=500.0))
-    wait(cluster, LEASE_S + 4.0, fleet=False)
-    assert len(running(cluster)) == parts
+    run_for(cluster, LEASE_S + 4.0, cloud=False)
+    assert len(running_tasks(cluster)) == parts
     leader = cluster.leader()
     assert leader is not None
     return cluster, leader
 
 
-def fencing_token(cluster: World) -> int:
-    return cluster.state.rows[records.LEADERSHIP][0]["token"]
+def fencing_token(cluster: Cluster) -> int:
+    return cluster.store.rows[records.LEADERSHIP][0]["token"]
 
 
 def test_an_leader_without_workers_hands_over_and_nothing_stops():
     cluster, leader = busy_cluster()
-    before = running(cluster)
+    before = running_tasks(cluster)
     first = fencing_token(cluster)
     cut_off(cluster, leader)
-    wait(cluster, 30.0)
+    run_for(cluster, 30.0)
     heir = cluster.leader()
     assert heir not in (None, leader), "it went through relays for as long as it kept its lease"
     assert fencing_token(cluster) == first + 1
     assert not cluster.nodes[leader].scheduler.leader
-    assert running(cluster) == before and cluster.deleted == []
-    assert {worker.at for worker in cluster.workers.values()} == {heir}
+    assert running_tasks(cluster) == before and cluster.cloud.deleted == []
+    assert {worker.reports_to for worker in cluster.workers.values()} == {heir}
     assert cluster.cancel(leader, "req-000001") == "aborted"
-    wait(cluster, 6.0)
-    assert running(cluster) == []
+    run_for(cluster, 6.0)
+    assert running_tasks(cluster) == []
 
 
 def test_cancelled_starts_on_relayed_machines_do_not_cost_their_machines():
@@ -56,30 +57,30 @@
     machine with such a start was deleted at half of `cancel_s`, with all other work on it."""
     cluster, leader = busy_cluster(parts=2, machines=2)
     cut_off(cluster, leader)
-    wait(cluster, 8.0)  # the workers have found a relay
+    run_for(cluster, 8.0)  # the workers have found a relay
     cluster.submit(leader, cluster.job(2, crew="blue", parts=4, guess_s=500.0))
-    cluster.step_node(leader)  # placed and durable, not started
+    cluster.step_controller(leader)  # placed and durable, not started
     assert cluster.cancel(leader, "req-000002") == "aborted"
-    wait(cluster, cluster.cancel_s + 5.0)
-    assert cluster.deleted == []
-    assert running(cluster) == ["req-000001/0", "req-000001/1"]
+    run_for(cluster, cluster.cancel_s + 5.0)
+    assert cluster.cloud.deleted == []
+    assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
 
 
 def test_two_controllers_that_lose_their_workers_in_turn_change_at_most_once_a_lease():
     cluster, leader = busy_cluster()
-    before = running(cluster)
+    before = running_tasks(cluster)
     first = fencing_token(cluster)
     period_s = 90.0
     for second in range(int(period_s)):
         if second % 3 == 0:  # whoever owns loses its workers, whoever owned has them back
-            cluster.cut.clear()
+            cluster.network_cuts.clear()
             cut_off(cluster, cluster.leader() or leader)
-        wait(cluster, 1.0, fleet=False)
+        run_for(cluster, 1.0, cloud=False)
     changes = fencing_token(cluster) - first
     assert 1 <= changes <= 1 + period_s / LEASE_S
-    cluster.cut.clear()
-    wait(cluster, 20.0, fleet=False)
-    assert set(running(cluster)) >= set(before)
+    cluster.network_cuts.clear()
+    run_for(cluster, 20.0, cloud=False)
+    assert set(running_tasks(cluster)) >= set(before)
 
 
 def test_two_controllers_without_workers_do_not_hand_to_one_another():
@@ -88,10 +89,10 @@
     cut_off(cluster, leader)
     cut_off(cluster, also_cut)
     first = fencing_token(cluster)
-    wait(cluster, 60.0)
+    run_for(cluster, 60.0)
     assert fencing_token(cluster) == first + 1
     assert cluster.leader() not in (leader, also_cut)
-    assert len(running(cluster)) == 12
+    assert len(running_tasks(cluster)) == 12
 
 
 def test_answers_and_writes_of_the_leader_before_the_leadership_transfer_are_without_effect():
@@ -104,11 +105,11 @@
     old = cluster.nodes[leader]
     while old.scheduler.leader:  # until it hands over, with something decided and not yet written
         cluster.submit(leader, cluster.job(100 + len(cluster.accepted), crew="open", parts=1))
-        wait(cluster, 0.5, fleet=False)
+        run_for(cluster, 0.5, cloud=False)
         assert cluster.clock.now < 1100.0
-    wait(cluster, 10.0, fleet=False)
+    run_for(cluster, 10.0, cloud=False)
     assert worker.fencing_token > orjson.loads(late_answer[1])["baton"]
-    assert worker.take(late_answer, cluster.clock.now, worker.epoch) == 0, "its token is surpassed"
+    assert worker.receive(late_answer, cluster.clock.now, worker.epoch) == 0, "its token is surpassed"
     status = old.heartbeat(late_report, NEVER).status
     assert status in (421, 503), "a report that comes late is not the old owner's to answer"
     outcome = old.store.compare_and_swap(
@@ -122,14 +123,14 @@
 )
 def test_a_cut_that_heals_in_the_middle(healed_after_s, changes):
     cluster, leader = busy_cluster()
-    before = running(cluster)
+    before = running_tasks(cluster)
     first = fencing_token(cluster)
     cut_off(cluster, leader)
-    wait(cluster, healed_after_s)
-    cluster.cut.clear()
-    wait(cluster, 40.0)
+    run_for(cluster, healed_after_s)
+    cluster.network_cuts.clear()
+    run_for(cluster, 40.0)
     assert fencing_token(cluster) - first in changes, "one owner or the other, and no going back and forth"
-    assert running(cluster) == before and cluster.deleted == []
+    assert running_tasks(cluster) == before and cluster.cloud.deleted == []
 
 
 def test_a_leadership_transfer_whose_answer_is_lost_happens_once():
@@ -137,13 +138,13 @@
     first = fencing_token(cluster)
     cut_off(cluster, leader)
     while fencing_token(cluster) == first:
-        cluster.state.lose_answer.add(leader)  # also of other writes: whatever is sent next
-        wait(cluster, 0.5)
+        cluster.store.loses_next_response_to.add(leader)  # also of other writes: whatever is sent next
+        run_for(cluster, 0.5)
         assert cluster.clock.now < 1100.0
-    cluster.state.lose_answer.clear()
-    wait(cluster, 20.0)
+    cluster.store.loses_next_response_to.clear()
+    run_for(cluster, 20.0)
     assert fencing_token(cluster) == first + 1
-    assert not cluster.nodes[leader].scheduler.leader and len(running(cluster)) == 12
+    assert not cluster.nodes[leader].scheduler.leader and len(running_tasks(cluster)) == 12
 
 
 def test_controllers_that_each_miss_some_workers_keep_their_leader():
@@ -151,19 +152,19 @@
     first = fencing_token(cluster)
     names = list(cluster.workers)
     for node, missing in zip(cluster.names, (names[:2], names[2:4], names[4:]), strict=True):
-        cluster.cut |= {(name, node) for name in missing}
-    wait(cluster, 90.0)
+        cluster.network_cuts |= {(name, node) for name in missing}
+    run_for(cluster, 90.0)
     assert fencing_token(cluster) == first and cluster.leader() == leader
-    assert len(running(cluster)) == 24 and cluster.deleted == []
+    assert len(running_tasks(cluster)) == 24 and cluster.cloud.deleted == []
 
 
 def test_an_leader_with_one_worker_cut_off_keeps_the_rest():
     cluster, leader = busy_cluster()
-    lost: Worker = next(iter(cluster.workers.values()))
-    cluster.cut.add((lost.name, leader))
+    lost: FakeWorker = next(iter(cluster.workers.values()))
+    cluster.network_cuts.add((lost.name, leader))
     first = fencing_token(cluster)
-    wait(cluster, 40.0)
-    assert fencing_token(cluster) == first and len(running(cluster)) == 12
+    run_for(cluster, 40.0)
+    assert fencing_token(cluster) == first and len(running_tasks(cluster)) == 12
 
 
 @pytest.mark.parametrize(
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,7 +8,7 @@
 
 import orjson
 import pytest
-from world import SETTINGS, World
+from fakes.cluster import SETTINGS, Cluster
 
 from bayford import cli, config, script
 from bayford.clock import NEVER
@@ -21,8 +21,8 @@
 from bayford.transport.http_handlers import UserHandler
 from bayford.transport.http_server import HttpServer, Request, Response
 
-GOOD = json.loads(World(1).job(1))
-TEXT = SETTINGS.format(name="n9", zone="north", writes=15.0, value_kb=8.0, cancel_s=42.0, coming="")
+GOOD = json.loads(Cluster(1).job(1))
+TEXT = SETTINGS.format(name="n9", zone="north", writes=15.0, value_kb=8.0, cancel_s=42.0, next_limits="")
 
 
 def test_a_good_submission_survives_the_record():
@@ -164,7 +164,7 @@
 
 
 def test_fleet_prefers_spot_remembers_refusals_and_takes_on_demand_machines_only_in_need():
-    types = World(1).catalog()
+    types = Cluster(1).cloud.catalog()
     spot, on_demand = scaling.MachinePool(0, 0, True), scaling.MachinePool(0, 0, False)
     need = scaling.Demand(frozenset({spot, on_demand}), 8, 1.0, 0.0, 1.0, 20.0, False, 0, 640.0, 640.0)
 
@@ -270,8 +270,8 @@
 
 def test_in_a_crowd_users_do_not_keep_connections_and_what_a_cut_left_behind_goes_soon():
     """A fleet that comes back from a cut found its own old connections, kept for 40 s, in its way."""
-    w = World()
-    front = UserHandler(w.nodes["n0"], ConcurrencyLimit())
+    cluster = Cluster()
+    front = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
     server = HttpServer("127.0.0.1", 0, front.handle, 4, "crowd")
     server.start()
     ask = b"GET /api/jobs/req-000001 HTTP/1.1\r\n\r\n"
@@ -289,7 +289,7 @@
         with connect() as fourth:
             assert b"Connection: close" in answer(fourth) and fourth.recv(1) == b""
         assert b"Connection: close" not in answer(first), "there is room again"
-    facts = w.settings("n0").facts.workers
+    facts = cluster.settings("n0").facts.workers
     heartbeat = orjson.dumps(
         {
             "dock": "vm-000001",
@@ -327,7 +327,7 @@
         writes=15.0,
         value_kb=8.0,
         cancel_s=42.0,
-        coming=f"[facts.state.next]\n{coming}",
+        next_limits=f"[facts.state.next]\n{coming}",
     )
     with pytest.raises(config.SettingsError, match=f"state.next.{field}"):
         config.parse(text)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -4,11 +4,11 @@
 import random
 
 import pytest
+from fakes.cluster import Cluster
+from fakes.scenarios import run_for, running_tasks
 from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from test_stories import running, wait
-from world import World
 
 from bayford import cli
 from bayford.recovery import return_order, zone_record, zone_report
@@ -143,7 +143,7 @@
 
 
 def test_named_classes_come_first_and_others_by_priority():
-    cluster = World(policy=RECOVER)
+    cluster = Cluster(policy=RECOVER)
     for number, lane, rank in (
         (1, "trickle", "idle"),
         (2, "sweep", "normal"),
@@ -199,12 +199,12 @@
     with pytest.raises(zone_record.UnreadableRecordError):
         zone_record.decode(stored)
     cluster = two_zones()
-    cluster.state._change([records_put("north", stored or 0)])
+    cluster.store._change([records_put("north", stored or 0)])
     cluster.boot(cluster.leader())
-    wait(cluster, 10.0, fleet=True)
+    run_for(cluster, 10.0, cloud=True)
     assert any("taken for absent" in r.getMessage() for r in caplog.records)
     cluster.submit("n0", cluster.job(9, crew="open"))
-    wait(cluster, 5.0)
+    run_for(cluster, 5.0)
     assert cluster.query("n0", "req-000009") == "running"
 
 
@@ -276,45 +276,45 @@
 # -- the leader
 
 
-def two_zones(machines: int = 8, nodes: int = 3, seed: int = 1) -> World:
+def two_zones(machines: int = 8, nodes: int = 3, seed: int = 1) -> Cluster:
     """Machines in two zones, and a leader in the north."""
-    cluster = World(nodes, policy=RECOVER, seed=seed)
-    cluster.capacity = 0
+    cluster = Cluster(nodes, policy=RECOVER, seed=seed)
+    cluster.cloud.capacity = 0
     for n in range(machines):
         cluster.machine(zone="south" if n % 2 else "north")
-    wait(cluster, 16.0)  # for longer than a lease: a leader that has just begun can't know
+    run_for(cluster, 16.0)  # for longer than a lease: a leader that has just begun can't know
     return cluster
 
 
-def cut_zone(cluster: World, zone: str = "south") -> None:
+def cut_zone(cluster: Cluster, zone: str = "south") -> None:
     """The zone's machines reach nobody and nobody reaches them."""
     south = [worker.name for worker in cluster.workers.values() if worker.zone == zone]
-    cluster.cut |= {(name, node) for name in south for node in cluster.names}
+    cluster.network_cuts |= {(name, node) for name in south for node in cluster.names}
 
 
-def heal(cluster: World) -> None:
-    cluster.cut.clear()
+def heal(cluster: Cluster) -> None:
+    cluster.network_cuts.clear()
 
 
-def zone_state(cluster: World, zone: str = "south") -> str:
+def zone_state(cluster: Cluster, zone: str = "south") -> str:
     leader = cluster.nodes[cluster.leader()].scheduler
     return leader.zone_monitor.statuses[leader.state.zones.find(zone)].state.value
 
 
-def stored(cluster: World, zone: str = "south") -> zone_record.ZoneRecord:
-    return zone_record.decode(cluster.state.rows[zone_record.key(zone)][0])
+def stored(cluster: Cluster, zone: str = "south") -> zone_record.ZoneRecord:
+    return zone_record.decode(cluster.store.rows[zone_record.key(zone)][0])
 
 
-def in_zone(cluster: World, zone: str = "south") -> list[str]:
+def in_zone(cluster: Cluster, zone: str = "south") -> list[str]:
     return sorted(task_id for w in cluster.workers.values() if w.zone == zone for task_id in w.running())
 
 
-def full_of_work(cluster: World, **fields) -> list[str]:
+def full_of_work(cluster: Cluster, **fields) -> list[str]:
     """A job on every CPU; the tasks in the south."""
     tasks = 4 * len(cluster.workers)
     cluster.submit("n0", cluster.job(1, **({"crew": "open", "parts": tasks, "guess_s": 900.0} | fields)))
-    wait(cluster, 5.0)
-    assert len(running(cluster)) == tasks
+    run_for(cluster, 5.0)
+    assert len(running_tasks(cluster)) == tasks
     return in_zone(cluster)
 
 
@@ -322,31 +322,31 @@
     cluster = two_zones()
     there = full_of_work(cluster)
     cut_zone(cluster)
-    wait(cluster, 8.0)
+    run_for(cluster, 8.0)
     assert zone_state(cluster) == "suspect"
     cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
-    wait(cluster, 14.0)
+    run_for(cluster, 14.0)
     assert zone_state(cluster) == "lost"
     assert stored(cluster).losses[-1].totals()["open"] == len(there)
     assert cluster.nodes[cluster.leader()].scheduler.state.jobs["req-000002"].waiting == [0], (
         "nothing is placed there"
     )
     heal(cluster)
-    wait(cluster, 50.0)
+    run_for(cluster, 50.0)
     assert zone_state(cluster) == "up"
     loss = stored(cluster).losses[-1]
     assert loss.returned > loss.lost > loss.suspected
     assert loss.totals() == {"open": 0, "finished": 0, "cancelled": 0, "over": 0, "again": len(there)}
-    assert len(set(running(cluster))) == len(running(cluster))
+    assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
 
 
 def test_nothing_is_placed_where_a_zone_is_suspect_and_only_on_machines_that_are_surely_back():
     cluster = two_zones()
     cut_zone(cluster)
-    wait(cluster, 7.0)
+    run_for(cluster, 7.0)
     assert zone_state(cluster) == "suspect"
     cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south"))
-    wait(cluster, 14.0)
+    run_for(cluster, 14.0)
     scheduler = cluster.nodes[cluster.leader()].scheduler
     assert zone_state(cluster) == "lost"
     assert scheduler.state.jobs["req-000002"].open == {}, (
@@ -358,12 +358,12 @@
         scheduler.state.capacity_index.holds(machine, 77)
     heal(cluster)
     while zone_state(cluster) == "lost":
-        wait(cluster, 0.5)
+        run_for(cluster, 0.5)
     assert not any(77 in machine.images for machine in south), "it may be cold"
     assert zone_state(cluster) == "returning" and not scheduler.state.verified_machines
     scheduler.round()
     assert scheduler.state.jobs["req-000002"].open == {}, "one report may have been held back by the cut"
-    wait(cluster, 6.0)
+    run_for(cluster, 6.0)
     assert len(in_zone(cluster)) == 2
 
 
@@ -401,12 +401,12 @@
     cluster = two_zones()
     there = full_of_work(cluster)
     cut_zone(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     assert cluster.cancel("n0", "req-000001") == "aborted"
-    wait(cluster, 30.0)  # the machines' epochs have ended, the silent ones are deleted
+    run_for(cluster, 30.0)  # the machines' epochs have ended, the silent ones are deleted
     heal(cluster)
-    wait(cluster, 60.0)
-    assert running(cluster) == []
+    run_for(cluster, 60.0)
+    assert running_tasks(cluster) == []
     assert stored(cluster).losses[-1].totals()["cancelled"] == len(there)
 
 
@@ -418,31 +418,31 @@
     task_id = there[0]
     worker = next(w for w in cluster.workers.values() if task_id in w.running())
     cut_zone(cluster)
-    wait(cluster, 8.0)
+    run_for(cluster, 8.0)
     worker.finish(task_id)
     cluster.done_tasks.add(task_id)
     late = worker.heartbeat()
-    wait(cluster, {"before": 4.0, "during": 34.0, "after": 34.0}[when])
+    run_for(cluster, {"before": 4.0, "during": 34.0, "after": 34.0}[when])
     if when == "after":
         heal(cluster)
         for _ in range(4):  # room for what was lost
             cluster.machine(zone="north")
-        wait(cluster, 30.0)
+        run_for(cluster, 30.0)
         cluster.finish(task_id)
-        wait(cluster, 4.0)
+        run_for(cluster, 4.0)
     cluster.replay(late, cluster.leader())
-    wait(cluster, 4.0)
+    run_for(cluster, 4.0)
     heal(cluster)
-    wait(cluster, 40.0)
+    run_for(cluster, 40.0)
     leader = cluster.nodes[cluster.leader()].scheduler
     if when == "during":
-        assert worker.name in cluster.deleted, (
+        assert worker.name in cluster.cloud.deleted, (
             "its machine is gone by then, and what it says counts for nothing"
         )
     job = leader.state.jobs["req-000001"]
     task = int(task_id.split("/")[1])
     assert task not in job.open or task not in job.done
-    assert len(set(running(cluster))) == len(running(cluster))
+    assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
 
 
 def test_late_copies_after_the_return_open_and_close_nothing():
@@ -450,36 +450,36 @@
     full_of_work(cluster)
     copies = [worker.heartbeat() for worker in cluster.workers.values()]
     cut_zone(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     heal(cluster)
-    wait(cluster, 6.0)
-    before = running(cluster), zone_state(cluster)
+    run_for(cluster, 6.0)
+    before = running_tasks(cluster), zone_state(cluster)
     for copy in copies:
         cluster.replay(copy, cluster.leader())
     scheduler = cluster.nodes[cluster.leader()].scheduler
     scheduler.round()
-    assert (running(cluster), zone_state(cluster)) == before
-    assert len(running(cluster)) == len(set(running(cluster)))
+    assert (running_tasks(cluster), zone_state(cluster)) == before
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
 
 
 def test_the_leader_ends_in_the_middle_of_the_return():
     cluster = two_zones()
     there = full_of_work(cluster)
     cut_zone(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     assert zone_state(cluster) == "lost"
     heal(cluster)
-    wait(cluster, 4.0)
+    run_for(cluster, 4.0)
     first = cluster.leader()
     del cluster.nodes[first]
-    wait(cluster, 5.0)
+    run_for(cluster, 5.0)
     assert cluster.leader() not in (None, first)
     assert zone_state(cluster) in ("lost", "returning"), "the new owner goes on with what is stored"
-    wait(cluster, 60.0)
+    run_for(cluster, 60.0)
     assert zone_state(cluster) == "up"
     totals = stored(cluster).losses[-1].totals()
     assert totals["open"] == 0 and sum(totals.values()) == len(there)
-    assert len(running(cluster)) == len(set(running(cluster))) == 4 * len(cluster.workers)
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
 def test_what_ended_between_two_leaders_is_told_as_that():
@@ -487,24 +487,24 @@
     cluster = two_zones()
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, yard="south", guess_s=900.0))
     cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south", guess_s=900.0))
-    wait(cluster, 5.0)
+    run_for(cluster, 5.0)
     there = in_zone(cluster)
     assert len(there) == 6
     cut_zone(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     leader = cluster.leader()
     scheduler = cluster.nodes[leader].scheduler
-    record_then = cluster.state.rows[zone_record.key("south")]
+    record_then = cluster.store.rows[zone_record.key("south")]
     heal(cluster)
-    wait(cluster, 24.0)  # it all runs again; two tasks end, and one job is over
+    run_for(cluster, 24.0)  # it all runs again; two tasks end, and one job is over
     for task_id in in_zone(cluster):
         if task_id.startswith("req-000002"):
             cluster.finish(task_id)
-    wait(cluster, 4.0)
+    run_for(cluster, 4.0)
     assert cluster.query("n0", "req-000002") == "done" and scheduler.leader
-    cluster.state.rows[zone_record.key("south")] = record_then  # the last record that was written before
+    cluster.store.rows[zone_record.key("south")] = record_then  # the last record that was written before
     cluster.boot(leader)
-    wait(cluster, 8.0)
+    run_for(cluster, 8.0)
     totals = stored(cluster).losses[-1].totals()
     assert totals["over"] == 2 and totals["cancelled"] == 0 and sum(totals.values()) == 6
 
@@ -517,10 +517,10 @@
     cut_zone(cluster, zone)
     for name, node in cluster.nodes.items():
         if node.settings.site == zone:
-            cluster.state.lost.add(name)
-            cluster.mesh_cut.add(name)
-            cluster.cut |= {(worker, name) for worker in cluster.workers}
-    wait(cluster, 50.0)
+            cluster.store.unreachable_from.add(name)
+            cluster.mesh_cuts.add(name)
+            cluster.network_cuts |= {(worker, name) for worker in cluster.workers}
+    run_for(cluster, 50.0)
     others = [name for name, node in cluster.nodes.items() if node.settings.site != zone]
     for name in others:
         if cluster.nodes[name].scheduler.leader:
@@ -531,11 +531,11 @@
             break
     else:
         pytest.fail("nobody took over")
-    cluster.state.lost.clear()
-    cluster.mesh_cut.clear()
+    cluster.store.unreachable_from.clear()
+    cluster.mesh_cuts.clear()
     heal(cluster)
-    wait(cluster, 90.0)
-    assert len(running(cluster)) == len(set(running(cluster)))
+    run_for(cluster, 90.0)
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
 
 
 @pytest.mark.parametrize("back_first", [True, False])
@@ -543,18 +543,18 @@
     cluster = two_zones()
     full_of_work(cluster)
     cut_zone(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     assert zone_state(cluster) == "lost"
-    cluster.state.down = True
-    wait(cluster, 4.0)
+    cluster.store.down = True
+    run_for(cluster, 4.0)
     if back_first:
         heal(cluster)
-        wait(cluster, 6.0)
-    cluster.state.down = False
+        run_for(cluster, 6.0)
+    cluster.store.down = False
     heal(cluster)
-    wait(cluster, 60.0)
+    run_for(cluster, 60.0)
     assert zone_state(cluster) == "up"
-    assert len(running(cluster)) == len(set(running(cluster))) == 4 * len(cluster.workers)
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
 def test_the_cloud_confirms_a_deletion_while_the_machine_still_heartbeats():
@@ -563,8 +563,8 @@
     ghost = next(w for w in cluster.workers.values() if w.zone == "south")
     late = ghost.heartbeat()
     cut_zone(cluster)
-    wait(cluster, 40.0)
-    assert ghost.name in cluster.deleted
+    run_for(cluster, 40.0)
+    assert ghost.name in cluster.cloud.deleted
     before = cluster.nodes[cluster.leader()].scheduler.state.machines.keys()
     cluster.replay(late, cluster.leader())
     assert ghost.name not in {
@@ -574,17 +574,22 @@
 
 def test_services_bound_to_the_zone_and_gangs_with_a_part_inside():
     cluster = two_zones()
-    cluster.submit("n0", cluster.daemon(1, crew="open", parts=2, yard="south", loaners=True))
+    cluster.submit("n0", cluster.service(1, crew="open", parts=2, yard="south", loaners=True))
     cluster.submit("n0", cluster.job(2, crew="open", shape="gang", parts=6, guess_s=900.0))
-    wait(cluster, 8.0)
-    placed = len(running(cluster))
+    run_for(cluster, 8.0)
+    placed = len(running_tasks(cluster))
     assert placed >= 2
     cut_zone(cluster)
-    wait(cluster, 22.0)
-    assert [p for p in running(cluster) if p not in in_zone(cluster) and p.startswith("req-000001")] == []
+    run_for(cluster, 22.0)
+    assert [
+        p for p in running_tasks(cluster) if p not in in_zone(cluster) and p.startswith("req-000001")
+    ] == []
     heal(cluster)
-    wait(cluster, 60.0)
-    assert {p for p in running(cluster) if p.startswith("req-000001")} == {"req-000001/0", "req-000001/1"}
+    run_for(cluster, 60.0)
+    assert {p for p in running_tasks(cluster) if p.startswith("req-000001")} == {
+        "req-000001/0",
+        "req-000001/1",
+    }
     assert set(in_zone(cluster)) >= {"req-000001/0", "req-000001/1"}
 
 
@@ -592,7 +597,7 @@
     cluster = two_zones()
     full_of_work(cluster)
     cut_zone(cluster)
-    wait(cluster, 36.0)  # until its machines are deleted
+    run_for(cluster, 36.0)  # until its machines are deleted
     assert zone_state(cluster) in ("lost", "returning")
     for number, lane in ((2, "trickle"), (3, "sweep"), (4, "hot")):
         cluster.submit(
@@ -602,10 +607,10 @@
             ),
         )
     heal(cluster)
-    cluster.capacity = 0
+    cluster.cloud.capacity = 0
     for _ in range(2):  # room for two of the three
         cluster.machine(zone="south")
-    wait(cluster, 16.0)
+    run_for(cluster, 16.0)
     assert {task_id[:10] for task_id in in_zone(cluster)} == {"req-000004", "req-000003"}, "hot, then sweep"
     jobs = cluster.nodes[cluster.leader()].scheduler.state.jobs
     hot, sweep = (
@@ -615,7 +620,7 @@
     for task_id in in_zone(cluster):
         if task_id.startswith("req-000004"):
             cluster.finish(task_id)
-    wait(cluster, 20.0)
+    run_for(cluster, 20.0)
     assert {task_id[:10] for task_id in in_zone(cluster)} == {"req-000003", "req-000002"}, "nobody is starved"
 
 
@@ -667,7 +672,7 @@
 
     @rule()
     def finish_some(self):
-        for task_id in running(self.cluster)[::3]:
+        for task_id in running_tasks(self.cluster)[::3]:
             self.cluster.finish(task_id)
 
     @precondition(lambda self: self.cluster.leader() is not None)
@@ -677,14 +682,14 @@
 
     @rule(seconds=st.sampled_from([1.0, 4.0, 14.0]))
     def time_passes(self, seconds):
-        wait(self.cluster, seconds)
+        run_for(self.cluster, seconds)
 
     @invariant()
     def rules_hold(self):
         if not hasattr(self, "cluster"):
             return
         self.cluster.check()
-        assert len(running(self.cluster)) == len(set(running(self.cluster)))
+        assert len(running_tasks(self.cluster)) == len(set(running_tasks(self.cluster)))
         leader = self.cluster.leader()
         if leader is None:
             return
@@ -703,7 +708,7 @@
     def teardown(self):
         if hasattr(self, "cluster"):
             heal(self.cluster)
-            wait(self.cluster, 90.0)
+            run_for(self.cluster, 90.0)
             for job_id in sorted(self.cluster.accepted):
                 assert self.cluster.query("n0", job_id) is not None, "known to the end"
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,8 @@
 import time
 
 import orjson
-from world import Attempt, World
+from fakes.cluster import Cluster
+from fakes.worker import Attempt
 
 from bayford.config import Settings
 from bayford.coordination.leader.autoscaler import Deletion, LaunchRequest, ScalingActions
@@ -35,32 +36,32 @@
 REPORT_STEPS = 4  # a worker reports every two seconds, as the settings say
 
 
-def pass_scaled(cluster: World, seconds: float, until_running: int | None = None) -> None:
+def pass_scaled(cluster: Cluster, seconds: float, until_running: int | None = None) -> None:
     """Time passes; of the workers a quarter heartbeats in each half second, each every two seconds."""
     for step in range(int(seconds / STEP_S)):
         cluster.pass_time(STEP_S)
         for n, worker in enumerate(list(cluster.workers.values())):
             if n % REPORT_STEPS == step % REPORT_STEPS:
-                cluster.wander(worker)
+                cluster.heartbeat_to_any(worker)
         for name in list(cluster.nodes):
-            cluster.step_node(name)
+            cluster.step_controller(name)
         if step % REPORT_STEPS == 0:
             for name in list(cluster.nodes):
-                cluster.fleet(name)
+                cluster.cloud_step(name)
             cluster.check()
         if until_running is not None and running_count(cluster) >= until_running:
             return
 
 
-def running_count(cluster: World) -> int:
+def running_count(cluster: Cluster) -> int:
     """How many tasks run."""
     return sum(len(worker.running()) for worker in cluster.workers.values())
 
 
 def test_4000_machines_start_change_their_leader_and_lose_500():
-    cluster = World(nodes=3, value_kb=8.0)
+    cluster = Cluster(nodes=3, value_kb=8.0)
     cluster.pause_s = 0.0005  # 4,000 heartbeats wait for a read each, and their times add up here
-    cluster.capacity = 0  # no more than these, but in the place of some that are deleted
+    cluster.cloud.capacity = 0  # no more than these, but in the place of some that are deleted
     for n in range(MACHINES):
         cluster.machine(zone="north" if n % 2 else "south")
     tasks = MACHINES * CPUS
@@ -80,14 +81,14 @@
     second = cluster.leader()
     assert second not in (None, first)
     assert {worker.name: sorted(worker.running()) for worker in cluster.workers.values()} == before
-    assert cluster.deleted == [], "a takeover costs no machine"
+    assert cluster.cloud.deleted == [], "a takeover costs no machine"
 
     lost = list(cluster.workers.values())[:: MACHINES // LOST]
     assert len(lost) == LOST
     for worker in lost:
         worker.hung = True
     pass_scaled(cluster, 30.0)
-    assert set(cluster.deleted) == {worker.name for worker in lost}
+    assert set(cluster.cloud.deleted) == {worker.name for worker in lost}
     pass_scaled(cluster, 40.0, until_running=tasks)
     parts = collections.Counter(
         task_id for worker in cluster.workers.values() for task_id in worker.running()
@@ -161,7 +162,7 @@
 def test_the_list_of_4000_machines_keeps_to_the_rate_and_leaves_room_for_rentals():
     """All pages at once were more than the cloud takes in a burst, so that the list was never read whole."""
     cloud = PacedCloud(rps=3.0, count=MACHINES)
-    scheduler, calls = leader_with_cloud(cloud, World().settings("n0"))
+    scheduler, calls = leader_with_cloud(cloud, Cluster().settings("n0"))
     order = LaunchRequest("small", "north", True, 50, "backlog")
     lists = 0
     while cloud.now < 60.0:
@@ -184,7 +185,7 @@
 
 def test_more_rentals_than_the_queue_holds_do_not_hold_up_deletions():
     cloud = PacedCloud(rps=3.0, count=0)
-    scheduler, calls = leader_with_cloud(cloud, World().settings("n0"))
+    scheduler, calls = leader_with_cloud(cloud, Cluster().settings("n0"))
     commands = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
     for order in commands:
         scheduler.autoscaler._asked_for(scheduler.autoscaler._pool(order), order.count)
@@ -195,7 +196,7 @@
 
 
 def test_a_relay_knows_late_copies_of_4000_machines_heartbeats():
-    cluster = World(nodes=2)
+    cluster = Cluster(nodes=2)
     relay = cluster.nodes["n1"].relay
     heartbeats = [cluster.machine().heartbeat() for _ in range(MACHINES + 500)]
     assert not any(relay.stale(heartbeat) for heartbeat in heartbeats)
@@ -204,9 +205,9 @@
 
 def test_a_relay_of_4000_machines_keeps_to_the_rate_and_the_leader_hears_each():
     """All values at once were refused, again and again, and the pause for so many exceeded a lease."""
-    cluster = World(nodes=2, value_kb=4.0, writes=15.0)
+    cluster = Cluster(nodes=2, value_kb=4.0, writes=15.0)
     relaying = cluster.nodes["n1"]
-    cluster.state.write_rps = 15.0
+    cluster.store.write_rps = 15.0
     cluster.pass_time(2.0)
     fleet = [cluster.machine() for _ in range(MACHINES)]
     last_heartbeat_at: dict[str, list[float]] = {worker.name: [] for worker in fleet}
@@ -223,14 +224,14 @@
             }
             relaying.relay.note(worker.heartbeat())
         fleet = fleet[1:] + fleet[:1]
-        cluster.try_(relaying._publish)
-        for key, (value, version, _) in cluster.state.rows.items():
+        cluster.try_step(relaying._publish)
+        for key, (value, version, _) in cluster.store.rows.items():
             if key.startswith(records.RELAYS) and seen.get(key) != version:
                 seen[key] = version
                 for heartbeat in heartbeats_in(Row(key, value, version), cluster.clock.wall())[1]:
                     last_heartbeat_at[heartbeat.machine].append(cluster.clock.now)
-    assert cluster.state.too_many == 0
-    assert len(seen) > 2 * cluster.state.write_rps, "more values than may be written in two seconds"
+    assert cluster.store.rate_limited_count == 0
+    assert len(seen) > 2 * cluster.store.write_rps, "more values than may be written in two seconds"
     ends = cluster.clock.now
     gaps = [
         max(later - before for before, later in itertools.pairwise([*times, ends]))
@@ -240,7 +241,7 @@
 
 
 def test_searches_for_tasks_to_stop_go_through_a_large_fleet_and_stop_in_proportion():
-    cluster = World(value_kb=8.0)
+    cluster = Cluster(value_kb=8.0)
     cluster.pause_s = 0.0005
     node = cluster.nodes["n0"]
     scheduler = node.scheduler
@@ -273,7 +274,7 @@
 def test_a_fleet_of_more_machines_than_connections_takes_turns():
     """Workers kept their connections: those which came last were turned away until a lease ran out."""
     most, clients = 8, 40
-    cluster = World()
+    cluster = Cluster()
     cluster.step()
     front = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
     server = HttpServer("127.0.0.1", 0, front.handle, most, "front")
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -4,11 +4,11 @@
 import random
 
 import pytest
+from fakes.cluster import LIMITS, Cluster
+from fakes.scenarios import run_for, running_tasks, started_cluster
 from hypothesis import given
 from hypothesis import strategies as st
 from test_room_index import CPUS, indexed, jobs, machines, make_job
-from test_stories import quiet, running, wait
-from world import LIMITS, World
 
 from bayford.scheduling import placement_rules, tempered
 from bayford.scheduling.model import Machine, MachineType, Placement
@@ -253,12 +253,12 @@
 # -- the leader's moves
 
 
-def uneven(tasks: int = 4, nodes: int = 1, **job) -> World:
+def uneven(tasks: int = 4, nodes: int = 1, **job) -> Cluster:
     """Four machines of which the first has all the work, and a leader that spreads load."""
-    cluster = quiet(machines=4, nodes=nodes, policy=PACKED)
+    cluster = started_cluster(machines=4, nodes=nodes, policy=PACKED)
     fields = {"crew": "open", "parts": tasks, "bookmark_s": 5.0, "stash_s": 1.0, "guess_s": 900.0} | job
     cluster.submit("n0", cluster.job(1, **fields))
-    wait(cluster, 4.0, fleet=False)
+    run_for(cluster, 4.0, cloud=False)
     assert sorted(len(w.running()) for w in cluster.workers.values()) == [0, 0, 0, tasks]
     cluster.policy = SPREAD
     for node in cluster.nodes.values():
@@ -266,21 +266,21 @@
     return cluster
 
 
-def loads(cluster: World) -> list[int]:
+def loads(cluster: Cluster) -> list[int]:
     return sorted(len(worker.running()) for worker in cluster.workers.values())
 
 
-def restarts(cluster: World) -> dict[str, int]:
-    return {task_id: len(workers) - 1 for task_id, workers in cluster.starters.items()}
+def restarts(cluster: Cluster) -> dict[str, int]:
+    return {task_id: len(workers) - 1 for task_id, workers in cluster.started_on.items()}
 
 
 def test_running_work_leaves_an_overloaded_machine_and_each_task_moves_once():
     cluster = uneven()
-    wait(cluster, 120.0, fleet=False)
+    run_for(cluster, 120.0, cloud=False)
     assert loads(cluster)[-1] <= 2, "at most twice the average"
-    assert len(running(cluster)) == 4
+    assert len(running_tasks(cluster)) == 4
     assert max(restarts(cluster).values()) == 1 and sum(restarts(cluster).values()) <= 3
-    stored = cluster.state.rows[records.migration_counts_key("req-000001")][0]
+    stored = cluster.store.rows[records.migration_counts_key("req-000001")][0]
     assert sum(count for _, count in stored["t"]) == sum(restarts(cluster).values())
 
 
@@ -294,14 +294,14 @@
 def test_work_that_would_lose_or_gain_nothing_stays(job):
     cluster = uneven(**job)
     before = {worker.name: worker.running() for worker in cluster.workers.values()}
-    wait(cluster, 60.0, fleet=False)
+    run_for(cluster, 60.0, cloud=False)
     assert {worker.name: worker.running() for worker in cluster.workers.values()} == before
 
 
 def test_a_class_that_allows_the_loss_is_moved():
     cluster = uneven(bookmark_s=0.0, guess_s=9000.0)
     cluster.nodes["n0"].scheduler.state.policy = dataclasses.replace(SPREAD, spread_lossy=("sweep",))
-    wait(cluster, 60.0, fleet=False)
+    run_for(cluster, 60.0, cloud=False)
     assert loads(cluster)[-1] <= 2
 
 
@@ -309,7 +309,7 @@
     cluster = uneven()
     cluster.policy = dataclasses.replace(SPREAD, spread_restarts={"sweep": 0})
     cluster.boot("n0")
-    wait(cluster, 60.0, fleet=False)
+    run_for(cluster, 60.0, cloud=False)
     assert loads(cluster) == [0, 0, 0, 4]
 
 
@@ -317,9 +317,9 @@
     cluster = uneven(nodes=3)
     with caplog.at_level("INFO", logger="bayford.spread"):
         for _ in range(8):
-            wait(cluster, 40.0, fleet=False)
+            run_for(cluster, 40.0, cloud=False)
             cluster.boot(cluster.leader() or "n0")
-            wait(cluster, 8.0, fleet=False)
+            run_for(cluster, 8.0, cloud=False)
             # What runs elsewhere is lost and comes together on one machine again: always work to move.
             scheduler = cluster.nodes[cluster.leader() or "n0"].scheduler
             scheduler.state.policy = PACKED
@@ -327,13 +327,13 @@
             for worker in others:
                 worker.tasks.clear()
                 worker.epoch += 1
-            wait(cluster, 4.0, fleet=False)
+            run_for(cluster, 4.0, cloud=False)
             scheduler.state.policy = SPREAD
     moved = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("moving ")]
     assert moved and len(set(moved)) == len(moved), "each task once, whoever the owner is"
 
 
-def moving(cluster: World) -> Placement:
+def moving(cluster: Cluster) -> Placement:
     """Until a move has been decided, and nothing of it is written yet; the task that it concerns."""
     scheduler = cluster.nodes["n0"].scheduler
     for _ in range(120):
@@ -365,7 +365,7 @@
     elif trouble == "cancelled":
         assert cluster.cancel("n0", "req-000001") == "aborted"
     elif trouble == "target":
-        cluster.execute_delete([node.scheduler.state.machine_names[target]])
+        cluster.cloud.execute_delete([node.scheduler.state.machine_names[target]])
         node.scheduler.deleted([node.scheduler.state.machine_names[target]])
     else:
         cluster.boot("n0")
@@ -378,25 +378,25 @@
             before[1] - {placement},
         )
         assert placement.stop_grace_s == 0.0
-    wait(cluster, 60.0)
+    run_for(cluster, 60.0)
     assert not cluster.nodes["n0"].scheduler.state.stopping
     if trouble == "cancelled":
-        assert running(cluster) == []
+        assert running_tasks(cluster) == []
         return
     left = {f"req-000001/{n}" for n in range(4)} - cluster.done_tasks
-    assert set(running(cluster)) == left and len(running(cluster)) == len(left)
+    assert set(running_tasks(cluster)) == left and len(running_tasks(cluster)) == len(left)
     assert restarts(cluster)[placement.task_id] <= 1
     if trouble == "done":
         for task_id in left:
             cluster.finish(task_id)
-        wait(cluster, 10.0, fleet=False)
+        run_for(cluster, 10.0, cloud=False)
         assert cluster.query("n0", "req-000001") == "done"
 
 
 def test_nothing_is_moved_for_balance_while_work_waits_for_room():
     cluster = uneven()
     cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
-    wait(cluster, 40.0, fleet=False)
+    run_for(cluster, 40.0, cloud=False)
     assert cluster.nodes["n0"].scheduler.state.moves == 0
     assert cluster.nodes["n0"].scheduler.state.jobs["req-000002"].waiting == [0]
 
@@ -407,7 +407,7 @@
     scheduler = cluster.nodes["n0"].scheduler
     scheduler.state.policy = PACKED
     cluster.submit("n0", cluster.job(2, crew="open", bookmark_s=5.0, stash_s=1.0, guess_s=900.0))
-    wait(cluster, 4.0, fleet=False)
+    run_for(cluster, 4.0, cloud=False)
     scheduler.state.policy = SPREAD
     source = max(scheduler.state.machines.values(), key=lambda machine: len(machine.open))
     target = next(machine for machine in scheduler.state.machines.values() if not machine.open)
@@ -422,26 +422,26 @@
 
 
 def test_no_team_limit_is_exceeded_where_load_is_spread():
-    cluster = quiet(machines=6, policy=SPREAD)
+    cluster = started_cluster(machines=6, policy=SPREAD)
     for number in range(4):
         cluster.submit("n0", cluster.job(number, parts=6))
-    wait(cluster, 10.0, fleet=False)
-    assert len(running(cluster)) == LIMITS["red"]
+    run_for(cluster, 10.0, cloud=False)
+    assert len(running_tasks(cluster)) == LIMITS["red"]
 
 
 def test_counts_of_jobs_that_are_over_are_deleted():
     cluster = uneven()
     moving(cluster)
-    wait(cluster, 10.0, fleet=False)
-    assert records.migration_counts_key("req-000001") in cluster.state.rows
+    run_for(cluster, 10.0, cloud=False)
+    assert records.migration_counts_key("req-000001") in cluster.store.rows
     cluster.cancel("n0", "req-000001")
-    wait(cluster, 5.0, fleet=False)
+    run_for(cluster, 5.0, cloud=False)
     cluster.submit("n0", cluster.job(2, crew="open"))  # something to write them off with
-    wait(cluster, 5.0, fleet=False)
-    assert records.migration_counts_key("req-000001") not in cluster.state.rows
+    run_for(cluster, 5.0, cloud=False)
+    assert records.migration_counts_key("req-000001") not in cluster.store.rows
 
 
-@pytest.mark.parametrize("looks", ["noticed", "silent", "deaf", "refusing", "relayed", "giving back"])
+@pytest.mark.parametrize("looks", ["noticed", "silent", "unresponsive", "refusing", "relayed", "giving back"])
 def test_a_machine_that_only_looks_idle_takes_no_moved_work(looks):
     machine = idle_machines(1)[0]
     machine.registered, machine.last_heartbeat_at = True, 100.0
@@ -449,7 +449,7 @@
     change = {
         "noticed": {"reclaim_at": 130.0},
         "silent": {"last_heartbeat_at": 90.0},
-        "deaf": {"token_acknowledged": False},
+        "unresponsive": {"token_acknowledged": False},
         "refusing": {"backoff_until": 102.0},
         "relayed": {"relay": "n2"},
         "giving back": {"deleting": True},
@@ -461,7 +461,7 @@
 
 def test_a_hint_counts_although_the_image_is_on_many_machines():
     """The pass over machines with the image took the hint and dropped it: the task came straight back."""
-    cluster = quiet(machines=4, policy=PACKED)
+    cluster = started_cluster(machines=4, policy=PACKED)
     scheduler = cluster.nodes["n0"].scheduler
     cluster.submit("n0", cluster.job(1, crew="open", parts=1))
     cluster.nodes["n0"].watch_cache.pull(0.0)
@@ -477,12 +477,12 @@
 def test_a_late_heartbeat_is_no_reason_to_move_work_there():
     cluster = uneven()
     for worker in list(cluster.workers.values()):
-        worker.mute = not worker.running()  # the idle ones fall silent
+        worker.cannot_send = not worker.running()  # the idle ones fall silent
     for _ in range(8):
         cluster.pass_time(1.0)
         for worker in cluster.workers.values():
             cluster.heartbeat(worker, "n0")
-        cluster.step_node("n0")
+        cluster.step_controller("n0")
     assert cluster.nodes["n0"].scheduler.state.moves == 0
 
 
@@ -491,6 +491,6 @@
     stranger = cluster.machine()
     stranger.kind = MachineType("odd", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north",))
     with caplog.at_level("ERROR", logger="bayford.spread"):
-        wait(cluster, 40.0, fleet=False)
+        run_for(cluster, 40.0, cloud=False)
     named = [r for r in caplog.records if stranger.name in r.getMessage() and "catalog" in r.getMessage()]
     assert len(named) == 1 and stranger.running() == []
