--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -276,11 +276,18 @@
         self.check()
 
     def leader(self) -> str | None:
+        """The name of a controller that leads and is not paused."""
         for name, node in self.nodes.items():
             if node.scheduler.leader and name not in self.paused:
                 return name
         return None
 
+    def require_leader(self) -> str:
+        """The leader's name; there must be one."""
+        name = self.leader()
+        assert name is not None, "there is no leader"
+        return name
+
     def heartbeat(self, worker: FakeWorker, node: str | None = None) -> int:
         """The worker sends a heartbeat to a controller, else to the leader; returns the status, 0 if none."""
         node = node or self.leader()
@@ -347,6 +354,10 @@
         """A new machine, launched by no controller."""
         return self.cloud.start_machine(kind, zone, spot)
 
+    def first_worker(self) -> FakeWorker:
+        """The worker of the machine that was launched first, of those that are there."""
+        return next(iter(self.workers.values()))
+
     def _new_worker(self, name: str, machine_type: MachineType, zone: str, spot: bool) -> FakeWorker:
         return FakeWorker(self, name, machine_type, zone, spot, last_answered_at=self.clock.now)
 
@@ -397,7 +408,7 @@
         status, answer, _ = self.nodes[node].cancel(job_id)
         if status != 200:
             return None
-        phase = orjson.loads(answer)["phase"]
+        phase: str = orjson.loads(answer)["phase"]
         self.on_phase(job_id, phase)
         if phase == "aborted":
             self.cancelled.setdefault(job_id, self.clock.now)
@@ -411,7 +422,7 @@
         if status != 200:
             return None
         assert job_id in self.specs, f"invented: {job_id}"
-        phase = orjson.loads(answer)["phase"]
+        phase: str = orjson.loads(answer)["phase"]
         self.on_phase(job_id, phase)
         return phase
 
@@ -423,8 +434,9 @@
             status, body, _ = self.nodes[name].submit(self.job(number, **fields))
             assert status in (200, 503), f"forgotten: a repeated submission is answered {status}"
             if status == 200:
-                phases.append(orjson.loads(body)["phase"])
-                self.on_phase(f"req-{number:06d}", phases[-1])
+                phase: str = orjson.loads(body)["phase"]
+                phases.append(phase)
+                self.on_phase(f"req-{number:06d}", phase)
         return phases
 
     def on_phase(self, job_id: str, phase: str) -> None:
--- a/tests/fakes/scenarios.py
+++ b/tests/fakes/scenarios.py
@@ -57,8 +57,7 @@
 def replaced_leader_with_unwritten_placements() -> tuple[Cluster, str, str]:
     """A cluster, its old leader that has placed tasks and written nothing of it, and the new leader."""
     cluster = started_cluster(nodes=2)
-    old_name = cluster.leader()
-    assert old_name is not None
+    old_name = cluster.require_leader()
     leader_with_unwritten_placements(cluster, old_name, parts=4)
     other = next(name for name in cluster.nodes if name != old_name)
     assert cluster.nodes[other].membership.acquire_leadership(other)
@@ -71,8 +70,7 @@
     cluster.submit("n0", cluster.job(1, crew="blue", parts=16, guess_s=500.0))
     run_for(cluster, 3.0, cloud=False)
     assert len(running_tasks(cluster)) == 16
-    old = cluster.leader()
-    assert old is not None
+    old = cluster.require_leader()
     cluster.paused.add(old)
     for _ in range(int(seconds * 2)):
         cluster.step(0.5)
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -8,6 +8,7 @@
 import msgspec
 import orjson
 
+from bayford.coordination.api.responses import Reply
 from bayford.protocol import workers
 from bayford.scheduling.model import MachineType
 
@@ -35,7 +36,7 @@
     """A response to a heartbeat that arrives later."""
 
     arrives_at: float
-    response: tuple[int, bytes]
+    response: Reply
     sent_at: float  # when the heartbeat was sent
     epoch: int  # of the heartbeat
     node: str
@@ -96,12 +97,11 @@
             self.epoch += 1
             self.last_answered_at = self.cluster.clock.now
 
-    def receive(self, answer: tuple[int, bytes], sent_at: float, epoch: int, node: str = "") -> int:
+    def receive(self, reply: Reply, sent_at: float, epoch: int, node: str = "") -> int:
         """Act on a response, as PROTOCOL says; returns its status, 0 if it is stale."""
-        status, body = answer[0], answer[1]
-        if status != 200:
-            return status
-        response = orjson.loads(body)
+        if reply.status != 200:
+            return reply.status
+        response = orjson.loads(reply.body)
         if epoch != self.epoch or response["baton"] < self.fencing_token:
             return 0
         self.fencing_token = response["baton"]
--- a/tests/test_durable_writes.py
+++ b/tests/test_durable_writes.py
@@ -48,7 +48,7 @@
 
 def test_an_ended_task_is_reaped_only_once_its_end_is_durable() -> None:
     cluster = started_cluster(machines=1)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     cluster.submit("n0", cluster.job(1, parts=2))
     for _ in range(3):
         cluster.step()
@@ -82,16 +82,16 @@
 
 
 def test_a_response_to_a_write_of_an_earlier_term_says_nothing_of_this_one() -> None:
-    """The same process loses the leadership record and wins it again while a transaction is on its way."""
+    """The same process loses the leadership record and wins it again while a transaction is in flight."""
     cluster = started_cluster(nodes=1)
     node = leader_with_unwritten_placements(cluster, parts=4)
     batch = node.scheduler.take_batch(12)
     assert batch is not None
     assert node.membership.acquire_leadership("n0")
-    cluster.step_controller("n0")  # adopted again, under the new leadership record
+    cluster.step_controller("n0")  # recovers again, under the new leadership record
     assert node.scheduler.term == node.membership.record.version != batch.term
     for _ in range(2):
-        cluster.step()  # the workers have heard the new token
+        cluster.step()  # the workers have got the new fencing token
     cluster.submit("n0", cluster.job(2, crew="blue"))
     node.watch_cache.pull(0.0)
     node.scheduler.round()
@@ -100,9 +100,7 @@
     node.scheduler.committed(batch)
     assert not any(p.durable for p in [*batch.placements, *in_flight.placements])
     assert in_flight.placements
-    assert node.scheduler.state.in_flight is in_flight, (
-        "what this term has on its way is not answered by that"
-    )
+    assert node.scheduler.state.in_flight is in_flight, "what this term has in flight is not answered by that"
     node.scheduler.not_committed(in_flight)
     for _ in range(3):
         cluster.step()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -12,12 +12,13 @@
 
 from bayford.clock import NEVER
 from bayford.coordination.leader.leader_state import LeaderState
+from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.storage import records
 
 
 def test_a_failover_continues_with_starts_in_flight() -> None:
     cluster = started_cluster(nodes=2)
-    leader = cluster.leader()
+    leader = cluster.require_leader()
     cluster.submit("n1", cluster.job(1))
     cluster.nodes[leader].watch_cache.pull(0.0)
     cluster.nodes[leader].scheduler.round()
@@ -26,7 +27,7 @@
     del cluster.nodes[leader]
     for _ in range(12):
         cluster.step()
-    new = cluster.nodes[cluster.leader()]
+    new = cluster.nodes[cluster.require_leader()]
     assert new.membership.record.fencing_token > before
     assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
 
@@ -35,11 +36,11 @@
     cluster, old_name, other = replaced_leader_with_unwritten_placements()
     old = cluster.nodes[old_name]
     cluster.step_controller(other)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     cluster.heartbeat(worker, old_name)  # the old leader does not know yet
     assert worker.running() == []
     old.commit_once()
-    assert not old.scheduler.leader, "its write failed on the map, so it has stepped down"
+    assert not old.scheduler.leader, "its write failed on the leadership record, so it has stepped down"
     for _ in range(3):
         cluster.step()
     assert len(running_tasks(cluster)) == 4
@@ -48,12 +49,11 @@
 def test_a_replaced_leader_that_has_seen_the_new_leadership_record_does_not_write_under_its_version() -> None:
     cluster, old_name, other = replaced_leader_with_unwritten_placements()
     old = cluster.nodes[old_name]
-    old.watch_cache.pull(
-        0.0
-    )  # the leadership record is seen; the thread that makes the scheduler follow it has not run yet
+    # The leadership record is seen; the thread that makes the scheduler follow it has not run yet.
+    old.watch_cache.pull(0.0)
     assert old.scheduler.leader and not old.membership.is_leader()
     before = task_log_rows(cluster)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     cluster.heartbeat(worker, old_name)
     old.commit_once()
     assert task_log_rows(cluster) == before
@@ -65,8 +65,8 @@
 
 def test_a_late_response_of_a_replaced_leader_is_dropped_by_its_fencing_token() -> None:
     cluster = started_cluster(nodes=2)
-    old_name = cluster.leader()
-    worker = next(iter(cluster.workers.values()))
+    old_name = cluster.require_leader()
+    worker = cluster.first_worker()
     sent, heartbeat = cluster.clock.now, worker.heartbeat()
     late = cluster.nodes[old_name].heartbeat(heartbeat, NEVER)
     other = next(n for n in cluster.nodes if n != old_name)
@@ -77,15 +77,15 @@
 
 
 def test_a_controller_behind_the_fencing_token_of_a_worker_commands_nothing(cluster: Cluster) -> None:
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     worker.fencing_token = 99
     assert cluster.heartbeat(worker, "n0") == 503
 
 
 def test_a_machine_that_has_not_acknowledged_the_fencing_token_gets_no_work() -> None:
-    """After a failover: heard, perhaps only by copies, but nothing shows that it hears us."""
+    """After a failover: its heartbeats come, perhaps only replayed, but it has acted on no response."""
     cluster = started_cluster(machines=1)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     worker.unresponsive = True
     cluster.boot("n0")
     for _ in range(4):
@@ -122,7 +122,7 @@
 
 def test_a_new_leader_knows_the_images_from_the_summary_of_its_predecessor() -> None:
     cluster = started_cluster(machines=30, nodes=2, value_kb=0.5)
-    leader = cluster.leader()
+    leader = cluster.require_leader()
     cluster.submit(leader, cluster.job(1, parts=1))
     cluster.step()
     cluster.step()
@@ -135,7 +135,7 @@
     del cluster.nodes[leader]
     for _ in range(12):
         cluster.step()
-    new = cluster.nodes[cluster.leader()].scheduler
+    new = cluster.nodes[cluster.require_leader()].scheduler
     assert [m.name for m in new.state.machines.values() if any(m.images.values())] == have
 
 
@@ -144,15 +144,14 @@
 ) -> None:
     recover = LeaderState.recover
 
-    def slow(scheduler, recovered):
-        # Seen by the watch cache when there is no leader yet to be told.
+    def recover_late(scheduler: LeaderState, recovered: RecoveredState) -> None:
+        # The watch cache sees it when there is no leader yet to publish it to.
         assert cluster.submit("n0", cluster.job(1)) == 201
         recover(scheduler, recovered)
 
-    monkeypatch.setattr(LeaderState, "recover", slow)
-    cluster.boot(
-        "n0"
-    )  # its old incarnation is gone from the leadership record at once, so it takes over here
+    monkeypatch.setattr(LeaderState, "recover", recover_late)
+    # Its old incarnation is gone from the leadership record at once, so it takes over here.
+    cluster.boot("n0")
     for _ in range(3):
         cluster.step()
     assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
@@ -160,9 +159,9 @@
 
 def test_heartbeats_that_a_relay_left_in_the_store_register_nothing_with_a_later_leader() -> None:
     cluster = started_cluster(machines=1, nodes=2)
-    leader = cluster.leader()
+    leader = cluster.require_leader()
     other = next(n for n in cluster.nodes if n != leader)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     cluster.network_cuts.add((worker.name, leader))
     for _ in range(3):
         cluster.step(1.0)
@@ -180,22 +179,22 @@
 
 def test_replayed_heartbeats_revive_no_machine_after_a_failover() -> None:
     cluster = started_cluster(machines=1)
-    worker = next(iter(cluster.workers.values()))
-    copies = [worker.heartbeat() for _ in range(3)]
+    worker = cluster.first_worker()
+    old_heartbeats = [worker.heartbeat() for _ in range(3)]
     cluster.cloud.execute_delete([worker.name])
     cluster.boot("n0")
     run_for(cluster, 1.0, cloud=False)
     cluster.submit("n0", cluster.job(1))
-    for copy in copies:
-        cluster.replay(copy, "n0")
+    for heartbeat in old_heartbeats:
+        cluster.replay(heartbeat, "n0")
         run_for(cluster, 0.5, cloud=False)
-    assert cluster.nodes["n0"].scheduler.state.machines, "it was heard of"
-    assert not cluster.nodes["n0"].scheduler.state.jobs["req-000001"].open, "and got nothing"
+    assert cluster.nodes["n0"].scheduler.state.machines, "its heartbeats came"
+    assert not cluster.nodes["n0"].scheduler.state.jobs["req-000001"].open, "and it got no work"
 
 
 def test_workers_of_an_isolated_leader_reach_one_that_can_act_with_their_tasks() -> None:
     cluster = started_cluster(machines=3, nodes=3)
-    leader = cluster.leader()
+    leader = cluster.require_leader()
     cluster.submit(leader, cluster.job(1, crew="blue", parts=12))
     run_for(cluster, 3.0)
     assert len(running_tasks(cluster)) == 12
--- a/tests/test_failover_run_times.py
+++ b/tests/test_failover_run_times.py
@@ -8,27 +8,26 @@
 GUESS_S = 40.0
 
 
-def takeover() -> tuple[Cluster, str]:
+def failed_over_cluster() -> tuple[Cluster, str]:
     """A cluster in which six tasks have run for 30 s when another controller takes over, and that one."""
     cluster = started_cluster(machines=2, nodes=2)
     cluster.submit("n0", cluster.job(1, crew="open", parts=6, guess_s=GUESS_S))
     run_for(cluster, 30.0, cloud=False)
     assert len(running_tasks(cluster)) == 6
-    old = cluster.leader()
-    assert old is not None
+    old = cluster.require_leader()
     del cluster.nodes[old]
     run_for(cluster, 8.0, cloud=False)
-    heir = cluster.leader()
-    assert heir not in (None, old)
+    successor = cluster.leader()
+    assert successor not in (None, old)
     assert len(running_tasks(cluster)) == 6
-    return cluster, heir
+    return cluster, successor
 
 
 def test_tasks_that_end_after_a_failover_teach_no_run_times() -> None:
     """They counted as runs of a few seconds, the class was expected to end at once, and after each failover
     the backlog seemed to be nothing, for launching, for stops and for the order of service."""
-    cluster, heir = takeover()
-    scheduler = cluster.nodes[heir].scheduler
+    cluster, successor = failed_over_cluster()
+    scheduler = cluster.nodes[successor].scheduler
     for task in range(4):
         cluster.finish(f"req-000001/{task}")
     run_for(cluster, 2.0, cloud=False)
@@ -37,10 +36,10 @@
     assert scheduler.state.expected(job) == GUESS_S
 
 
-def test_what_the_new_leader_placed_itself_does_teach_them() -> None:
-    cluster, heir = takeover()
-    scheduler = cluster.nodes[heir].scheduler
-    cluster.submit(heir, cluster.job(2, crew="open", parts=2, guess_s=GUESS_S))
+def test_tasks_that_the_new_leader_placed_do_teach_run_times() -> None:
+    cluster, successor = failed_over_cluster()
+    scheduler = cluster.nodes[successor].scheduler
+    cluster.submit(successor, cluster.job(2, crew="open", parts=2, guess_s=GUESS_S))
     run_for(cluster, 12.0, cloud=False)
     for task in range(2):
         cluster.finish(f"req-000002/{task}")
@@ -48,9 +47,9 @@
     assert scheduler.state.expected(scheduler.state.jobs["req-000001"]) < GUESS_S
 
 
-def test_stopping_an_inherited_task_loses_more_than_the_time_since_the_failover() -> None:
-    cluster, heir = takeover()
-    scheduler = cluster.nodes[heir].scheduler
+def test_stopping_a_recovered_task_loses_more_than_the_time_since_the_failover() -> None:
+    cluster, successor = failed_over_cluster()
+    scheduler = cluster.nodes[successor].scheduler
     job = scheduler.state.jobs["req-000001"]
     for placement in job.open.values():
         assert lost_work(job, placement, cluster.clock.now, GUESS_S) >= 0.5 * GUESS_S
--- a/tests/test_faulty_machines.py
+++ b/tests/test_faulty_machines.py
@@ -9,7 +9,7 @@
     cluster.submit("n0", cluster.job(1, parts=1))
     cluster.step()
     cluster.step()
-    silent = next(iter(cluster.workers.values()))
+    silent = cluster.first_worker()
     cluster.network_cuts.add((silent.name, "n0"))
     spare = cluster.machine()
     cluster.cloud.deletes_lost = True
@@ -48,35 +48,37 @@
 
 def test_an_unresponsive_machine_is_replaced_and_its_work_runs_elsewhere() -> None:
     cluster = started_cluster(machines=1)
-    deaf = next(iter(cluster.workers.values()))
-    deaf.unresponsive = True
+    unresponsive = cluster.first_worker()
+    unresponsive.unresponsive = True
     cluster.submit("n0", cluster.job(1))
     run_for(cluster, 8.0)
-    assert deaf.name in cluster.cloud.deleted, (
-        "starts that never show give it away, long before a lease is out"
+    assert unresponsive.name in cluster.cloud.deleted, (
+        "starts that never show up reveal it, long before a lease expires"
     )
     assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
 
 
 def test_an_unresponsive_machine_with_running_tasks_loses_them_and_no_more() -> None:
     cluster = started_cluster(machines=1)
-    deaf = next(iter(cluster.workers.values()))
+    unresponsive = cluster.first_worker()
     cluster.submit("n0", cluster.job(1, parts=4))
     run_for(cluster, 3.0, cloud=False)
     assert len(running_tasks(cluster)) == 4
-    deaf.unresponsive = True
+    unresponsive.unresponsive = True
     run_for(cluster, 40.0)
-    assert deaf.name in cluster.cloud.deleted
+    assert unresponsive.name in cluster.cloud.deleted
     assert len(running_tasks(cluster)) == 4
 
 
 def test_an_idle_unresponsive_machine_is_found_by_its_lease_expiries() -> None:
     cluster = started_cluster(machines=1)
-    deaf = next(iter(cluster.workers.values()))
-    deaf.unresponsive = True
+    unresponsive = cluster.first_worker()
+    unresponsive.unresponsive = True
     run_for(cluster, 26.0, cloud=False)
     machine = next(iter(cluster.nodes["n0"].scheduler.state.machines.values()))
-    assert deaf.epoch == 3 and machine.quarantined, "two leases ran out although it was answered"
+    assert unresponsive.epoch == 3 and machine.quarantined, (
+        "two leases expired although its heartbeats were answered"
+    )
 
 
 def test_a_cancelled_task_on_an_unresponsive_machine_is_gone_in_time() -> None:
@@ -86,7 +88,7 @@
     for worker in cluster.workers.values():
         worker.unresponsive = True
     cluster.cancel("n0", "req-000001")
-    run_for(cluster, cluster.cancel_s)  # the world watches the bound
+    run_for(cluster, cluster.cancel_s)  # the cluster checks the bound
     assert running_tasks(cluster) == []
 
 
@@ -101,14 +103,14 @@
 
 def test_a_machine_that_fails_several_jobs_is_quarantined_and_deleted() -> None:
     cluster = started_cluster(machines=2)
-    sick = next(iter(cluster.workers.values()))
-    sick.fails_starts = True
+    faulty = cluster.first_worker()
+    faulty.fails_starts = True
     for n in range(1, 5):
         cluster.submit("n0", cluster.job(n, parts=2))
     for _ in range(12):
         cluster.step(1.0)
         cluster.cloud_step("n0")
-    assert sick.name in cluster.cloud.deleted
+    assert faulty.name in cluster.cloud.deleted
     assert sum(name in cluster.cloud.deleted for name in ("vm-000001", "vm-000002")) == 1
 
 
@@ -130,16 +132,16 @@
     cluster = started_cluster(machines=4)
     cluster.submit("n0", cluster.job(1, crew="blue", parts=40, guess_s=60.0))
     run_for(cluster, 8.0, cloud=False)
-    sick = sorted(cluster.workers)[:3]
-    for name in sick:
+    faulty = sorted(cluster.workers)[:3]
+    for name in faulty:
         worker = cluster.workers[name]
         worker.fails_starts = True
         worker.finish(worker.running()[0], "error")
     run_for(cluster, 4.0)
     job = cluster.nodes["n0"].scheduler.state.jobs["req-000001"]
     assert job.errors >= 3 and job.backoff_count == 0
-    for name in sick:
+    for name in faulty:
         if name in cluster.workers and cluster.workers[name].running():
             cluster.workers[name].finish(cluster.workers[name].running()[0], "error")
     run_for(cluster, 6.0)
-    assert set(sick) <= set(cluster.cloud.deleted), "twice is enough, as it runs elsewhere"
+    assert set(faulty) <= set(cluster.cloud.deleted), "twice is enough, as it runs elsewhere"
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -3,6 +3,7 @@
 import random
 import threading
 from pathlib import Path
+from typing import Any
 
 from standins.admission_history import (
     accepted_under,
@@ -31,14 +32,14 @@
     with Site(tmp_path, SCRIPT, MACHINES, teams=TEAMS, state=state) as site:
         for n in range(MACHINES):
             site.fleet.begin(KIND, "north" if n % 2 else "south", True)
-        await_state(lambda: site.leader() is not None, "an owner")
+        await_state(lambda: site.leader() is not None, "a leader")
         users = Users(site, 5)
         flood = threading.Thread(
             target=users.flood, args=(lambda n: make_job(rng, n, PER_S), PER_S, SECONDS, RUN_S), daemon=True
         )
         flood.start()
 
-        def levels() -> list[object]:
+        def levels() -> list[Any]:
             return [row.value for row in state.history() if row.key == "b/admission"]
 
         await_state(lambda: len(levels()) >= 2, "the flood is refused in part")
@@ -47,11 +48,11 @@
         ended = [leader, next(name for name in site.controllers.fronts if name != leader)]
         for name in ended:
             site.controllers.kill(name)
-        await_state(lambda: site.leader() not in (None, leader), "another owner")
+        await_state(lambda: site.leader() not in (None, leader), "another leader")
         for name in ended:
             site.start(name)
         before = len(levels())
-        await_state(lambda: len(levels()) >= before + 2, "the next owner goes on with levels")
+        await_state(lambda: len(levels()) >= before + 2, "the next leader goes on with levels")
         flood.join()
         submissions = list(users.submissions)
         await_state(lambda: not levels()[-1]["windows"] and not levels()[-1]["accept_rps"], "the end")
@@ -76,7 +77,10 @@
         assert served == {(s.job["lane"], s.job["crew"]) for s in submissions}, "nobody is starved"
         builds = [s for s in submissions if s.job["lane"] == "hot-builds"]
         sweeps = [s for s in submissions if s.job["lane"] == "rebuild-sweep"]
-        share = [sum(s.accepted_at is not None for s in some) / len(some) for some in (builds, sweeps)]
+        share = [
+            sum(s.accepted_at is not None for s in submitted) / len(submitted)
+            for submitted in (builds, sweeps)
+        ]
         assert share[0] > 2 * share[1], "urgent ones go first"
         begun: dict[str, int] = {}
         for event in history:
--- a/tests/test_heartbeats_and_relay.py
+++ b/tests/test_heartbeats_and_relay.py
@@ -10,7 +10,7 @@
     cluster.submit("n0", cluster.job(1, parts=1))
     cluster.step()
     cluster.step()
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     worker.last_answered_at = 0.0
     cluster.step()
     cluster.step()
@@ -20,7 +20,7 @@
 
 def test_an_old_heartbeat_changes_nothing() -> None:
     cluster = started_cluster(machines=1)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     old = worker.heartbeat()
     cluster.submit("n0", cluster.job(1, parts=1))
     cluster.step()
@@ -33,7 +33,7 @@
 
 def test_a_replayed_heartbeat_neither_closes_nor_opens_anything_nor_counts_as_a_second_failure() -> None:
     cluster = started_cluster(machines=1)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     cluster.submit("n0", cluster.job(1, parts=1))
     before = worker.heartbeat()
     for _ in range(3):
@@ -59,23 +59,22 @@
 
 def test_a_replayed_heartbeat_is_no_proof_that_a_cancelled_start_is_absent() -> None:
     cluster = started_cluster(machines=1, nodes=2)
-    leader = cluster.leader()
-    worker = next(iter(cluster.workers.values()))
+    leader = cluster.require_leader()
+    worker = cluster.first_worker()
     empty = worker.heartbeat()
-    leader_with_unwritten_placements(
-        cluster, leader, parts=1
-    ).commit_once()  # committed; the start is still to go out
+    node = leader_with_unwritten_placements(cluster, leader, parts=1)
+    node.commit_once()  # the start is still to be sent
     cluster.cancel(leader, "req-000001")
-    cluster.boot(leader)  # and the next leader has not heard the machine yet
+    cluster.boot(leader)  # and the next leader has got no heartbeat of the machine yet
     for _ in range(10):
         cluster.pass_time(0.5)
         cluster.store.process_due()
         for name in list(cluster.nodes):
             cluster.step_controller(name)
-    scheduler = cluster.nodes[cluster.leader()].scheduler
+    scheduler = cluster.nodes[cluster.require_leader()].scheduler
     assert scheduler.state.jobs["req-000001"].open
-    cluster.replay(empty, cluster.leader())
-    assert scheduler.state.jobs["req-000001"].open, "a copy proves nothing"
+    cluster.replay(empty, cluster.require_leader())
+    assert scheduler.state.jobs["req-000001"].open, "a replayed heartbeat proves nothing"
     for _ in range(3):
         cluster.step()
     assert "req-000001" not in scheduler.state.jobs
@@ -83,17 +82,17 @@
 
 def test_a_replayed_heartbeat_moves_no_worker_between_leader_and_relay() -> None:
     cluster = started_cluster(machines=1, nodes=2)
-    leader = cluster.leader()
+    leader = cluster.require_leader()
     other = next(n for n in cluster.nodes if n != leader)
-    worker = next(iter(cluster.workers.values()))
-    copy = worker.heartbeat()
+    worker = cluster.first_worker()
+    old_heartbeat = worker.heartbeat()
     assert cluster.heartbeat(worker, other) in (200, 421)
     run_for(cluster, 15.0, cloud=False)
     relay = cluster.nodes[other].relay
     before = dict(relay._until), dict(relay._reports)
     for _ in range(3):
         cluster.pass_time(2.0)
-        cluster.replay(copy, other)
+        cluster.replay(old_heartbeat, other)
     assert (relay._until, relay._reports) == before
     machine = next(iter(cluster.nodes[leader].scheduler.state.machines.values()))
     assert machine.relay == ""
@@ -101,27 +100,29 @@
 
 def test_a_worker_that_lost_the_leader_is_relayed_at_once_a_new_one_when_it_comes_back() -> None:
     cluster = started_cluster(machines=1, nodes=2)
-    leader = cluster.leader()
+    leader = cluster.require_leader()
     other = next(n for n in cluster.nodes if n != leader)
-    known = next(iter(cluster.workers.values()))
+    known = cluster.first_worker()
     fresh = cluster.machine()
     cluster.network_cuts |= {(known.name, leader), (fresh.name, leader)}
-    assert cluster.heartbeat(fresh, other) == 421, "never seen by anybody: the owner is the place to go"
+    assert cluster.heartbeat(fresh, other) == 421, "no controller knows it: the leader is the place to go"
     for _ in range(3):
         cluster.step(1.0)
-    assert cluster.heartbeat(fresh, other) == 200, "it came back: the owner is out of its reach"
-    assert cluster.heartbeat(known, other) == 200, "it has the owner's token, so it has just lost the owner"
+    assert cluster.heartbeat(fresh, other) == 200, "it came back: the leader is out of its reach"
+    assert cluster.heartbeat(known, other) == 200, (
+        "it has the leader's fencing token, so it has just lost the leader"
+    )
     for _ in range(11):
         cluster.step(1.0)
-    assert cluster.heartbeat(known, other) == 421, "by and by it tries the owner again"
+    assert cluster.heartbeat(known, other) == 421, "after a while it tries the leader again"
 
 
 def test_a_relayed_worker_keeps_its_lease_and_gets_its_commands_from_the_records() -> None:
-    # A second worker, which the leader hears, keeps it from handing over to the relay.
+    # A second worker, whose heartbeats reach the leader, keeps it from transferring leadership to the relay.
     cluster = started_cluster(machines=2, nodes=2)
-    leader = cluster.leader()
+    leader = cluster.require_leader()
     other = next(n for n in cluster.nodes if n != leader)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     cluster.network_cuts.add((worker.name, leader))
     cluster.submit(leader, cluster.job(1, parts=8))
     for _ in range(8):
@@ -133,7 +134,7 @@
         cluster.step(1.0)
         cluster.heartbeat(worker, other)
     assert cluster.nodes[leader].scheduler.state.jobs["req-000001"].done, (
-        "the owner has learned it through the store"
+        "the leader has learned it through the store"
     )
     cluster.cancel(other, "req-000001")
     for _ in range(4):
@@ -143,17 +144,17 @@
 
 
 def test_a_relay_without_the_store_redirects_workers_to_one_that_has_it() -> None:
-    """It kept them, their reports went nowhere, and the leader deleted a sixth of the fleet as silent."""
+    """It kept them, their heartbeats went nowhere, and the leader deleted a sixth of the fleet as silent."""
     cluster = started_cluster(machines=1, nodes=3)
-    leader = cluster.leader()
-    worker = next(iter(cluster.workers.values()))
+    leader = cluster.require_leader()
+    worker = cluster.first_worker()
     cluster.submit(leader, cluster.job(1, parts=4, guess_s=500.0))
     run_for(cluster, 3.0, cloud=False)
-    lost, able = (n for n in cluster.nodes if n != leader)
+    failing, working = (n for n in cluster.nodes if n != leader)
     cluster.network_cuts.add((worker.name, leader))
-    cluster.store.unavailable_to.add(lost)
-    worker.reports_to = lost
+    cluster.store.unavailable_to.add(failing)
+    worker.reports_to = failing
     before = running_tasks(cluster)
     run_for(cluster, 40.0)
     assert cluster.cloud.deleted == [] and running_tasks(cluster) == before and len(before) == 4
-    assert worker.reports_to == able
+    assert worker.reports_to == working
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -5,7 +5,7 @@
 from fakes.scenarios import leader_with_unwritten_placements, run_for, running_tasks, started_cluster
 
 from bayford.storage.counting_store import CountingStore
-from bayford.storage.key_value_store import UnavailableError
+from bayford.storage.key_value_store import Outcome, Put, UnavailableError
 
 
 def test_a_job_runs_and_is_done(cluster: Cluster) -> None:
@@ -55,13 +55,13 @@
 
 
 def test_a_query_waits_for_no_write_and_no_other_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whatever the group commit has to do, or can't do, a question needs one shared read alone."""
+    """Whatever the group commit has to do, or can't do, a query needs one shared read alone."""
     cluster = started_cluster(machines=2)
     node = cluster.nodes["n0"]
     for number in range(1, 6):
         cluster.submit("n0", cluster.job(number, parts=300))
 
-    def refused(store, conditions, puts):
+    def refused(store: CountingStore, conditions: dict[str, int], puts: list[Put]) -> Outcome:
         raise UnavailableError("429", refused=True)
 
     monkeypatch.setattr(CountingStore, "compare_and_swap", refused)  # that of every part
@@ -93,7 +93,7 @@
     assert node.query("req-000001")[0] == 503
     assert node.submit(cluster.job(1, parts=4))[0] == 503
     assert node.cancel("req-000001")[0] == 503
-    assert not node.scheduler.complete, "no owner starts anything before its view is whole"
+    assert not node.scheduler.complete, "no leader starts anything before its state is complete"
     assert any(record.levelname == "ERROR" and key in record.message for record in caplog.records)
     cluster.store.rows = whole
     cluster.boot("n0")
@@ -104,7 +104,7 @@
 
 def test_a_cancelled_job_is_stopped_and_stays_cancelled_across_a_failover() -> None:
     cluster = started_cluster(nodes=2)
-    leader = cluster.leader()
+    leader = cluster.require_leader()
     other = next(n for n in cluster.nodes if n != leader)
     cluster.submit(leader, cluster.job(1))
     cluster.step()
@@ -133,7 +133,7 @@
 
 def test_a_cancellation_while_done_is_being_written_wins() -> None:
     cluster = started_cluster(nodes=2)
-    leader = cluster.leader()
+    leader = cluster.require_leader()
     node = cluster.nodes[leader]
     other = next(n for n in cluster.nodes if n != leader)
     cluster.submit(leader, cluster.job(1, parts=1))
@@ -154,7 +154,7 @@
 def test_a_cancelled_placement_is_closed_only_by_a_heartbeat_sent_after_the_cancellation() -> None:
     """A heartbeat that a cut held back may lack a task that has started since; it proves nothing."""
     cluster = started_cluster(machines=1)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     node = leader_with_unwritten_placements(cluster, parts=1)
     node.commit_once()
     cluster.cancel("n0", "req-000001")
@@ -196,7 +196,7 @@
 
 
 def test_a_job_unknown_to_every_worker_keeps_no_capacity_from_others() -> None:
-    """Its submission was executed, the answer lost, and its user gave up."""
+    """Its submission was executed, the response lost, and its user gave up."""
     cluster = started_cluster(machines=1)
     cluster.cloud.capacity = 0
     cluster.store.loses_next_response_to.add("n0")
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -10,7 +10,7 @@
 from standins.site import KIND, Site, await_state, job
 from standins.workers import Event
 
-ALL_PARTS = (Path(__file__).parent.parent / "deploy" / "all-parts.star").read_text()
+ALL_FEATURES = (Path(__file__).parent.parent / "deploy" / "all-parts.star").read_text()
 KEEP_IDLE = "\nkeep_idle_s = 1e6\nsurplus_idle_s = 1e6\ndear_idle_s = 1e6\n"  # however slow this machine is
 MACHINES = 20
 JOBS = 10
@@ -19,7 +19,7 @@
 
 
 def test_a_burst_whose_images_lie_on_three_machines_is_spread_and_ends_once(tmp_path: Path) -> None:
-    with Site(tmp_path, ALL_PARTS + KEEP_IDLE, MACHINES) as site:
+    with Site(tmp_path, ALL_FEATURES + KEEP_IDLE, MACHINES) as site:
         for n in range(MACHINES):
             images = (IMAGES[n],) if n < len(IMAGES) else ()
             site.fleet.begin(KIND, "north" if n % 2 else "south", True, images)
@@ -47,7 +47,7 @@
         leader = site.leader()
         assert leader is not None
         site.controllers.kill(leader)
-        await_state(lambda: site.leader() not in (None, leader), "another owner")
+        await_state(lambda: site.leader() not in (None, leader), "another leader")
         site.start(leader)
         for name in names:
             site.fleet.run_s[name] = 0.0
@@ -121,33 +121,33 @@
         site.submit(job(0, "img-0", 48, "mirror-trickle"), run_s=math.inf)
         await_state(lambda: sum(site.fleet.loads().values()) == 6.0, "all tasks are there")
         site.fleet.cut_zone("south", away=True)
-        await_state(lambda: state() == "lost", "the loss is told")
+        await_state(lambda: state() == "lost", "the loss is recorded")
         bound = {"yard": "south", "rank": "normal"}
         for number, name in ((1, "mirror-trickle"), (2, "rebuild-sweep"), (3, "hot-builds")):
             site.submit(job(number, f"img-{number}", 6, name, **bound), run_s=math.inf)
         leader = site.leader()
         assert leader is not None
         site.controllers.kill(leader)
-        await_state(lambda: site.leader() not in (None, leader), "another owner")
+        await_state(lambda: site.leader() not in (None, leader), "another leader")
         site.start(leader)
         for away in (False, True, False):  # it flaps
             site.fleet.cut_zone("south", away)
         names = [f"req-{n:06d}" for n in range(4)]
-        parts = [f"{names[0]}/{n}" for n in range(48)]
-        parts += [f"{name}/{n}" for name in names[1:] for n in range(6)]
+        tasks = [f"{names[0]}/{n}" for n in range(48)]
+        tasks += [f"{name}/{n}" for name in names[1:] for n in range(6)]
 
         def running() -> set[str]:
             workers = list(site.fleet.workers.values())
             return {a.task_id for w in workers for a in list(w.tasks.values()) if a.phase == "running"}
 
-        await_state(lambda: running() == set(parts), "everything runs again")
+        await_state(lambda: running() == set(tasks), "everything runs again")
         await_state(lambda: state() == "up", "the zone is up")
         assert out_of_order(site.fleet.history, south(), [names[3], names[2], names[1]]) == []
         for name in names:
             site.fleet.run_s[name] = 0.0
         await_state(lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "the end")
         history = list(site.fleet.history)
-        assert ran_twice(history) == [] and not_done_once(history, parts) == []
+        assert ran_twice(history) == [] and not_done_once(history, tasks) == []
         assert without_one_answer({name: site.phases(name) for name in names}, "done") == []
         status, body = site.controllers.ask("n0", "POST", "/api/jobs", job(0, "img-0", 48, "mirror-trickle"))
         assert (status, body["phase"]) == (200, "done")
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -13,7 +13,7 @@
     cluster.submit("n0", cluster.job(1, parts=1))
     cluster.step()
     cluster.step()
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     cluster.store.down = True
     began = cluster.clock.now
     statuses = []
@@ -36,7 +36,7 @@
     cluster.store.down = True
     run_for(cluster, 90.0)
     cluster.store.down = False
-    cluster.step_controller("n0")  # it is sure to be the leader again before anybody has reported
+    cluster.step_controller("n0")  # it is a verified leader again before any heartbeat has come
     cluster.cloud_step("n0")
     run_for(cluster, 10.0)
     assert cluster.cloud.deleted == [] and set(cluster.workers) == before
@@ -65,50 +65,52 @@
         cluster.step(1.0)
         cluster.nodes["n1"]._peer_step()
     assert cluster.nodes["n1"].healthy(), (
-        "an outage for all: every node stays up and tells users to come back"
+        "an outage for all: every controller stays up and tells users to come back"
     )
 
 
+@pytest.mark.parametrize("first", ["scale", "delete", "launch", "command", "heartbeat"])
 @pytest.mark.parametrize("seconds", [20.0, 60.0])  # within the bound for outages, and beyond it
-def test_a_leader_that_was_paused_decides_and_commands_nothing_on_its_old_state(seconds: float) -> None:
-    """Whichever of its threads goes on first. One deleted the fleet, silent for a minute as it seemed."""
-    for first in ("fleet", "delete", "rent", "command", "report"):
-        cluster, old = cluster_with_paused_leader(seconds=seconds)
-        assert [n for n in cluster.nodes if n != old and cluster.nodes[n].scheduler.leader], (
-            "another has taken over"
-        )
-        assert len(running_tasks(cluster)) == 16
-        node = cluster.nodes[old]
-        launched_at, sent = cluster.cloud.machines_launched, []
-        node._command = lambda address, body, sent=sent: sent.append(address)
-        worker = next(iter(cluster.workers.values()))
-        if first == "fleet":
-            cluster.cloud_step(old)
-        elif first == "delete":
-            node.cloud_operations.delete(sorted(cluster.workers))
-        elif first == "rent":
-            node.cloud_operations.launch(LaunchRequest("small", "north", True, 3, "backlog"))
-            assert not node.scheduler.state.refused, "the cloud was not asked, so it has refused nothing"
-        elif first == "command":
-            index = node.scheduler.state.machine_names.find(worker.name)
-            for placement in node.scheduler.state.machines[index].open.values():
-                node.scheduler.state.stop(placement, 0.0)
-            node._command_step()
-        else:
-            copy = msgspec.structs.replace(worker.heartbeat(), fencing_token=1, sequence=999)
-            assert node.heartbeat(copy, NEVER)[0] == 503
-        assert (
-            cluster.cloud.deleted == [] and cluster.cloud.machines_launched == launched_at and sent == []
-        ), first
-        run_for(cluster, 10.0)
-        assert cluster.cloud.deleted == [] and len(running_tasks(cluster)) == 16
+def test_a_leader_that_was_paused_decides_and_commands_nothing_on_its_old_state(
+    seconds: float, first: str
+) -> None:
+    """Whichever of its threads goes on first. One deleted the fleet, which seemed silent for a minute."""
+    cluster, old = cluster_with_paused_leader(seconds=seconds)
+    assert [n for n in cluster.nodes if n != old and cluster.nodes[n].scheduler.leader], (
+        "another has taken over"
+    )
+    assert len(running_tasks(cluster)) == 16
+    node = cluster.nodes[old]
+    launched = cluster.cloud.machines_launched
+    commands: list[str] = []
+    node._command = lambda address, body: commands.append(address)
+    worker = cluster.first_worker()
+    if first == "scale":
+        cluster.cloud_step(old)
+    elif first == "delete":
+        node.cloud_operations.delete(sorted(cluster.workers))
+    elif first == "launch":
+        node.cloud_operations.launch(LaunchRequest("small", "north", True, 3, "backlog"))
+        assert not node.scheduler.state.refused, "the cloud was not asked, so it has refused nothing"
+    elif first == "command":
+        index = node.scheduler.state.machine_names.find(worker.name)
+        assert index is not None
+        for placement in node.scheduler.state.machines[index].open.values():
+            node.scheduler.state.stop(placement, 0.0)
+        node._command_step()
+    else:
+        heartbeat = msgspec.structs.replace(worker.heartbeat(), fencing_token=1, sequence=999)
+        assert node.heartbeat(heartbeat, NEVER)[0] == 503
+    assert cluster.cloud.deleted == [] and cluster.cloud.machines_launched == launched and commands == []
+    run_for(cluster, 10.0)
+    assert cluster.cloud.deleted == [] and len(running_tasks(cluster)) == 16
 
 
 def test_the_only_controller_is_paused_and_loses_no_machine() -> None:
-    """Nobody takes over; all leases run out, and everybody comes back with a new epoch."""
+    """No other takes over; all leases expire, and every worker comes back with a new epoch."""
     cluster, name = cluster_with_paused_leader(nodes=1)
     before = set(cluster.workers)
-    cluster.step_controller(name)  # it is sure to be the leader again before anybody has reported
+    cluster.step_controller(name)  # it is a verified leader again before any heartbeat has come
     cluster.cloud_step(name)
     run_for(cluster, 10.0)
     assert cluster.cloud.deleted == [] and set(cluster.workers) >= before
@@ -117,4 +119,4 @@
 
 def test_the_first_heartbeat_after_a_pause_awaits_the_verification_that_it_calls_for() -> None:
     cluster, name = cluster_with_paused_leader(nodes=1, seconds=8.0)
-    assert cluster.heartbeat(next(iter(cluster.workers.values())), name) == 200
+    assert cluster.heartbeat(cluster.first_worker(), name) == 200
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Which task is stopped when urgent work needs room (`scheduling.preemption`)."""
+"""Which task is stopped when urgent work needs capacity (`scheduling.preemption`)."""
 
 import pytest
 from fakes.scenarios import run_for, running_tasks, started_cluster
@@ -49,7 +49,7 @@
     assert cost(array(waiting=0)) == EXPECTED_S, "its last task begins anew"
 
 
-def test_each_stop_makes_the_next_one_dearer() -> None:
+def test_each_stop_makes_the_next_one_costlier() -> None:
     job = array()
     job.note_preemption(9)
     job.note_preemption(9)
@@ -80,7 +80,7 @@
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, guess_s=300.0))
     run_for(cluster, 10.0, cloud=False)
     assert len(running_tasks(cluster)) == 4
-    stopped = []
+    stopped: list[str] = []
     for number in range(2, 6):
         before = set(running_tasks(cluster))
         cluster.submit("n0", cluster.job(number, crew="open", parts=1, rank="urgent", guess_s=5.0))
@@ -113,7 +113,7 @@
 
 def test_nothing_is_preempted_for_capacity_that_is_released_in_a_moment() -> None:
     cluster = started_cluster(machines=2)  # 8 CPUs
-    cluster.submit("n0", cluster.job(1, parts=8, crew="blue", guess_s=1.6))  # two CPUs given back in 0.4 s
+    cluster.submit("n0", cluster.job(1, parts=8, crew="blue", guess_s=1.6))  # two CPUs released in 0.4 s
     run_for(cluster, 2.0, cloud=False)
     assert len(running_tasks(cluster)) == 8
     cluster.submit("n0", cluster.job(2, parts=2, crew="blue", rank="urgent"))
@@ -128,12 +128,12 @@
         "req-000002/1",
     ]
     cluster.submit("n0", cluster.job(3, parts=1, crew="blue", rank="urgent"))
-    run_for(cluster, 3.5, cloud=False)  # but when nothing comes back, room is made
+    run_for(cluster, 3.5, cloud=False)  # but when nothing is released, something is preempted
     assert "req-000003/0" in running_tasks(cluster)
 
 
 def test_equals_of_two_teams_do_not_preempt_one_another_in_turn() -> None:
-    """Each team once counted as within its guarantee while the other's stops were still under way."""
+    """Each team once counted as within its guarantee while the other's preemptions were still in flight."""
     cluster = started_cluster(machines=2)
     cluster.cloud.capacity = 0
     for n in (1, 2):
@@ -149,7 +149,7 @@
 
 
 def test_capacity_preempted_for_a_job_is_kept_for_it() -> None:
-    """Two stops free two CPUs on one machine; smaller waiting tasks must not take the first of them."""
+    """Two preemptions free two CPUs on one machine; smaller waiting tasks must not take the first of them."""
     cluster = started_cluster(machines=1)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.job(1, parts=8))
@@ -159,7 +159,7 @@
     node = cluster.nodes["n0"]
     node.watch_cache.pull(0.0)
     node.scheduler.round()
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     first, second = (
         key for key, p in next(iter(node.scheduler.state.machines.values())).open.items() if p.stopping
     )
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -7,30 +7,28 @@
 
 @pytest.mark.parametrize(("seed", "upgrade"), [(s, False) for s in range(6)] + [(s, True) for s in range(8)])
 def test_random_faults_break_no_rule(seed: int, upgrade: bool) -> None:  # noqa: C901 (a list of events)
-    """Crashes, cuts, lost answers, outages and users in a seeded order; the world checks every rule.
+    """Crashes, cuts, lost responses, outages and users in a seeded order; the cluster checks every rule.
 
     With `upgrade`, all controllers are old at first, each comes back new at some moment, the limits fall
     after that, and a third of the jobs are services.
     """
-    coming = "value_kb = 0.45\ntxn_ops = 3" if upgrade else ""
+    next_limits = "value_kb = 0.45\ntxn_ops = 3" if upgrade else ""
     cluster = Cluster(
-        3, seed=seed, value_kb=1.0, next_limits=coming, old_release=["n0", "n1", "n2"] if upgrade else []
+        3, seed=seed, value_kb=1.0, next_limits=next_limits, old_release=["n0", "n1", "n2"] if upgrade else []
     )
     for n in range(6):
         cluster.machine("small", "north" if n % 2 else "south", spot=n % 3 > 0)
     rng = cluster.rng
     number = 0
-    services = []
-    for failover_delay_s in range(400):
+    services: list[str] = []
+    for step in range(400):
         event = rng.random()
-        if upgrade and failover_delay_s in (60, 110, 170):
-            cluster.old_release.discard(
-                f"n{failover_delay_s % 3}" if failover_delay_s != 170 else sorted(cluster.old_release)[0]
-            )
+        if upgrade and step in (60, 110, 170):
+            cluster.old_release.discard(f"n{step % 3}" if step != 170 else sorted(cluster.old_release)[0])
             for name in cluster.nodes:
                 if name not in cluster.old_release and cluster.nodes[name].release == 1:
                     cluster.boot(name)
-        if upgrade and failover_delay_s == 230:
+        if upgrade and step == 230:
             assert not cluster.old_release
             cluster.store.value_bytes, cluster.store.txn_ops = 460, 3
         names = list(cluster.nodes)
@@ -77,9 +75,9 @@
         elif event < 0.46 and cluster.cloud.late_deletes:
             cluster.cloud.execute_delete(cluster.cloud.late_deletes.pop())
         elif event < 0.60:
-            parts = running_tasks(cluster)
-            if parts:
-                cluster.finish(rng.choice(parts))
+            running = running_tasks(cluster)
+            if running:
+                cluster.finish(rng.choice(running))
         elif event < 0.70 and cluster.workers:
             worker = cluster.workers[rng.choice(sorted(cluster.workers))]
             worker.check_lease()
@@ -140,18 +138,20 @@
         for task_id in running_tasks(cluster):
             if task_id.split("/")[0] not in services:
                 cluster.finish(task_id)
-    # A cancellation may have been executed although its user got no answer.
-    stand = sorted(j for j in services if j in cluster.accepted and cluster.query("n0", j) != "aborted")
-    for job_id in sorted(cluster.accepted - {*stand}):
+    # A cancellation may have been executed although its user got no response.
+    standing = sorted(j for j in services if j in cluster.accepted and cluster.query("n0", j) != "aborted")
+    for job_id in sorted(cluster.accepted - {*standing}):
         assert cluster.query("n0", job_id) in ("done", "aborted"), f"{job_id} never ended"
-    # What stands gets what its teams' limits of 8 and 16 CPUs allow, and never more or twice.
+    # Services that stand get what its teams' limits of 8 and 16 CPUs allow, and never more or twice.
     used = {
-        team: sum(cluster.specs[j].tasks for j in stand if cluster.specs[j].team == team)
+        team: sum(cluster.specs[j].tasks for j in standing if cluster.specs[j].team == team)
         for team in ("red", "blue")
     }
-    up = [p for p in running_tasks(cluster) if p.split("/")[0] in stand]
-    assert len(up) == len(set(up)) == min(8, used["red"]) + min(16, used["blue"]), f"{up} of {stand}"
-    for job_id in stand:
+    replicas = [p for p in running_tasks(cluster) if p.split("/")[0] in standing]
+    assert len(replicas) == len(set(replicas)) == min(8, used["red"]) + min(16, used["blue"]), (
+        f"{replicas} of {standing}"
+    )
+    for job_id in standing:
         assert cluster.cancel("n0", job_id) == "aborted"
     for _ in range(10):
         cluster.step(1.0)
--- a/tests/test_request_rates.py
+++ b/tests/test_request_rates.py
@@ -13,7 +13,7 @@
 def test_calls_to_the_cloud_keep_within_their_rate() -> None:
     cluster = started_cluster(machines=0)
     node = cluster.nodes["n0"]
-    began = cluster.clock.now
+    started_at = cluster.clock.now
     for _ in range(30):
         node.cloud_operations.pace()
-    assert 30 / (cluster.clock.now - began) < 3.0 * 1.3
+    assert 30 / (cluster.clock.now - started_at) < 3.0 * 1.3
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -16,9 +16,9 @@
     assert len(cluster.workers) == 2 and all(worker.spot for worker in cluster.workers.values())
     for _ in range(4):
         cluster.step()
-    parts = running_tasks(cluster)
-    assert len(parts) == 8
-    for task_id in parts:
+    running = running_tasks(cluster)
+    assert len(running) == 8
+    for task_id in running:
         cluster.finish(task_id)
     for _ in range(200):
         cluster.step(1.0)
@@ -43,7 +43,7 @@
 
 def test_a_reclaim_notice_stops_new_work_and_the_machine_is_deleted() -> None:
     cluster = started_cluster(machines=1)
-    worker = next(iter(cluster.workers.values()))
+    worker = cluster.first_worker()
     cluster.submit("n0", cluster.job(1, parts=1, guess_s=200.0))
     cluster.step()
     cluster.step()
@@ -61,9 +61,8 @@
     cluster = started_cluster(machines=3)
     cluster.submit("n0", cluster.job(1, **fields))
     run_for(cluster, 12.0)
-    assert (
-        len(running_tasks(cluster)) == cluster.specs["req-000001"].tasks
-    )  # the world sees to it that the place is allowed
+    # The cluster checks that the place is allowed.
+    assert len(running_tasks(cluster)) == cluster.specs["req-000001"].tasks
 
 
 def test_where_no_spot_machine_can_be_launched_stranded_work_gets_an_on_demand_one(
@@ -72,7 +71,7 @@
     cluster = started_cluster(machines=3)
     launch = cluster.cloud.launch
 
-    def no_spot(request, kind, zone, spot, count):
+    def no_spot(request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
         if spot:
             raise NoCapacityError
         return launch(request, kind, zone, spot, count)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -30,7 +30,7 @@
         cluster.step()
     assert len(running_tasks(cluster)) == 36
     cluster.cloud_step("n0")
-    assert len(cluster.workers) > 50, "machines are rented for all that waits"
+    assert len(cluster.workers) > 50, "machines are launched for all that waits"
 
 
 def test_one_zone_spread_zone_spot_and_machine_type_are_honoured() -> None:
@@ -79,7 +79,7 @@
 
 def test_a_task_refused_for_lack_of_capacity_is_tried_elsewhere() -> None:
     cluster = started_cluster(machines=2)
-    full = next(iter(cluster.workers.values()))
+    full = cluster.first_worker()
     full.fails_starts, full.failure_reason = True, "full"
     cluster.submit("n0", cluster.job(1, parts=4))
     for _ in range(8):
@@ -97,7 +97,8 @@
     cluster.submit("n0", cluster.job(2, crew="red", parts=8, bundle="img-b", guess_s=10.0))
     run_for(cluster, 3.0, cloud=False)
     assert len(running_tasks(cluster)) == 16
-    # Room comes back where img-a is. The smaller job would go first, but would have to fetch its image there.
+    # Capacity is released where img-a is. The smaller job would go first, but would have to fetch its
+    # image there.
     cluster.submit("n0", cluster.job(3, crew="blue", parts=4, bundle="img-b", guess_s=10.0))
     cluster.submit("n0", cluster.job(4, crew="blue", parts=8, bundle="img-a", guess_s=10.0))
     scheduler.state.images_at = NEVER
@@ -114,7 +115,7 @@
 def test_the_snapshot_of_a_machines_images_forgets_those_used_longest_ago() -> None:
     cluster = started_cluster(machines=1)
     scheduler = cluster.nodes["n0"].scheduler
-    scheduler.state.types = [msgspec.structs.replace(kind, cache_gb=2.5) for kind in scheduler.types]
+    scheduler.state.types = [msgspec.structs.replace(each, cache_gb=2.5) for each in scheduler.types]
     for number, image in enumerate(["img-a", "img-b", "img-a", "img-c"], 1):
         cluster.submit("n0", cluster.job(number, parts=1, bundle=image, size_gb=1.0))
         run_for(cluster, 2.0, cloud=False)
@@ -128,9 +129,8 @@
     cluster = started_cluster(machines=1)
     scheduler = cluster.nodes["n0"].scheduler
     for number, guess in enumerate([5.0, 90.0, 30.0], 1):
-        cluster.submit(
-            "n0", cluster.job(number, parts=5, guess_s=guess)
-        )  # more than the guarantee, so borrowed
+        # More CPUs than the guarantee, so borrowed.
+        cluster.submit("n0", cluster.job(number, parts=5, guess_s=guess))
     run_for(cluster, 2.0, cloud=False)
     assert {p.split("/")[0] for p in running_tasks(cluster)} == {"req-000002"}
     scheduler.state.completion_targets_s = {"sweep": 60.0}
@@ -159,28 +159,30 @@
 
 
 def test_a_large_idle_array_gets_its_turn_under_a_full_fleet_and_a_burst_of_small_urgent_jobs() -> None:
-    """The bound: every `turn_s`, and the time until room is given back, `turn_share` of its tasks start."""
+    """The bound: every `turn_s`, and the time until capacity is released, `turn_share` of its tasks start."""
     cluster = started_cluster(machines=2)  # 8 CPUs, all that there ever is
     cluster.cloud.capacity = 0
     policy = cluster.nodes["n0"].scheduler.policy
     cluster.submit("n0", cluster.job(1, crew="red", parts=100, rank="idle", guess_s=10.0))
     number = 1
-    began: dict[str, float] = {}
+    started_at: dict[str, float] = {}
     for _ in range(240):
         while sum(len(j.waiting) for j in cluster.nodes["n0"].scheduler.state.jobs.values()) < 60:
             number += 1
             cluster.submit("n0", cluster.job(number, crew="blue", parts=4, rank="urgent", guess_s=10.0))
         run_for(cluster, 2.0, cloud=False)
         for task_id in running_tasks(cluster):
-            began.setdefault(task_id, cluster.clock.now)
-            if cluster.clock.now - began[task_id] >= 10.0:
+            started_at.setdefault(task_id, cluster.clock.now)
+            if cluster.clock.now - started_at[task_id] >= 10.0:
                 cluster.finish(task_id)
-    names_process = sorted(at - 1000.0 for task_id, at in began.items() if task_id.startswith("req-000001/"))
-    assert names_process[0] <= policy.turn_s + 20.0
+    start_times = sorted(
+        at - 1000.0 for task_id, at in started_at.items() if task_id.startswith("req-000001/")
+    )
+    assert start_times[0] <= policy.turn_s + 20.0
     turns = int(480 / (policy.turn_s + 20.0))
-    assert len(names_process) >= turns * 2, "2 of 100 tasks a turn"
+    assert len(start_times) >= turns * 2, "2 of 100 tasks a turn"
     done = [task_id for task_id in cluster.done_tasks if task_id.startswith("req-000001/")]
-    assert len(done) >= len(names_process) - 2, "nobody pushed them out"
+    assert len(done) >= len(start_times) - 2, "none of them was preempted"
 
 
 def test_the_balancer_frees_capacity_that_a_waiting_task_needs() -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,6 +1,7 @@
-"""Services: replicas that run until they are called off, and what takes them down meanwhile."""
+"""Services: replicas that run until they are cancelled, and what ends them meanwhile."""
 
 from pathlib import Path
+from typing import Any
 
 import pytest
 from fakes.cluster import Cluster
@@ -12,8 +13,8 @@
 from bayford.storage import records
 
 
-def ordinary(machines: int = 3, **cluster_fields) -> Cluster:
-    """A world with on-demand machines reporting."""
+def on_demand_cluster(machines: int = 3, **cluster_fields: Any) -> Cluster:
+    """A cluster with on-demand machines whose heartbeats its leader gets."""
     cluster = Cluster(1, **cluster_fields)
     for n in range(machines):
         cluster.machine("small", "north" if n % 2 else "south", spot=False)
@@ -22,22 +23,25 @@
     return cluster
 
 
-def steps(cluster: Cluster, count: int, seconds: float = 0.5) -> None:
+def run_steps(cluster: Cluster, count: int, seconds: float = 0.5) -> None:
     for _ in range(count):
         cluster.step(seconds)
 
 
-def where(cluster: Cluster, job: str = "req-000001") -> dict[str, list[str]]:
+def replicas_by_machine(cluster: Cluster, job: str = "req-000001") -> dict[str, list[str]]:
     """Machine -> the job's replicas there."""
-    found = {name: [p for p in x.running() if p.startswith(job)] for name, x in cluster.workers.items()}
-    return {name: parts for name, parts in found.items() if parts}
+    replicas = {
+        name: [task_id for task_id in worker.running() if task_id.startswith(job)]
+        for name, worker in cluster.workers.items()
+    }
+    return {name: task_ids for name, task_ids in replicas.items() if task_ids}
 
 
-def test_a_service_is_pending_or_running_until_it_is_cancelled_whatever_its_replicas_heartbeat() -> None:
-    cluster = ordinary()
+def test_a_service_is_pending_or_running_until_it_is_cancelled_whatever_its_replicas_report() -> None:
+    cluster = on_demand_cluster()
     assert cluster.submit("n0", cluster.service(1)) == 201
     assert cluster.query("n0", "req-000001") == "pending"
-    steps(cluster, 3)
+    run_steps(cluster, 3)
     for _ in range(40):
         assert cluster.query("n0", "req-000001") in ("pending", "running")
         for task_id in running_tasks(cluster):
@@ -45,25 +49,25 @@
                 worker.finish(task_id, "done")
         cluster.step(5.0)
     assert cluster.cancel("n0", "req-000001") == "aborted"
-    steps(cluster, 4)
+    run_steps(cluster, 4)
     assert running_tasks(cluster) == [] and cluster.query("n0", "req-000001") == "aborted"
 
 
 def test_replicas_are_spread_over_machines_and_zones() -> None:
-    cluster = ordinary(4)
+    cluster = on_demand_cluster(4)
     cluster.submit("n0", cluster.service(1, parts=4, crew="blue"))
-    steps(cluster, 4)
-    assert [len(parts) for parts in where(cluster).values()] == [1, 1, 1, 1]
+    run_steps(cluster, 4)
+    assert [len(parts) for parts in replicas_by_machine(cluster).values()] == [1, 1, 1, 1]
     cluster.submit("n0", cluster.service(2, parts=2))
-    steps(cluster, 4)
-    zones = {cluster.workers[name].zone for name in where(cluster, "req-000002")}
+    run_steps(cluster, 4)
+    zones = {cluster.workers[name].zone for name in replicas_by_machine(cluster, "req-000002")}
     assert zones == {"north", "south"}
 
 
-def test_a_replica_that_ends_runs_again_at_once_and_one_that_can_not_run_holds_back_no_other() -> None:
-    cluster = ordinary(3)
+def test_a_replica_that_ends_runs_again_at_once_and_one_that_can_not_run_delays_no_other() -> None:
+    cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1, parts=3))
-    steps(cluster, 4)
+    run_steps(cluster, 4)
     assert len(running_tasks(cluster)) == 3
     ends = 0
     for _ in range(60):
@@ -74,7 +78,7 @@
         cluster.step()
         assert {"req-000001/0", "req-000001/2"} <= set(running_tasks(cluster)), "the healthy ones go on"
     assert 3 <= ends <= 9, f"{ends} starts in 30 s: at once at first, then ever more seldom"
-    steps(cluster, 80)
+    run_steps(cluster, 80)
     assert len(running_tasks(cluster)) == 3, "and it is tried again"
 
 
@@ -82,10 +86,10 @@
 def test_a_replica_that_failed_on_every_machine_there_is_comes_back(cpus: float) -> None:
     """It failed wherever there was room, the others of its job ran, and no machine was left that it might go
     to."""
-    cluster = ordinary(3)
+    cluster = on_demand_cluster(3)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.service(1, parts=2, cpus=cpus))
-    steps(cluster, 16)
+    run_steps(cluster, 16)
     for _ in range(200):
         for worker in cluster.workers.values():
             if "req-000001/1" in worker.running():
@@ -93,50 +97,50 @@
         cluster.step()
         cluster.cloud_step("n0")
     assert not cluster.cloud.deleted, "one bad replica costs no machine"
-    steps(cluster, 120)
+    run_steps(cluster, 120)
     assert len(running_tasks(cluster)) == 2
 
 
 def test_a_machine_that_fails_what_it_starts_gets_no_replica_and_those_on_it_go_on() -> None:
-    cluster = ordinary(3)
+    cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1, parts=1, cpus=1.0))
-    steps(cluster, 16)
-    sick = cluster.workers[next(iter(where(cluster)))]
-    sick.fails_starts = True
+    run_steps(cluster, 16)
+    faulty = cluster.workers[next(iter(replicas_by_machine(cluster)))]
+    faulty.fails_starts = True
     for number in (2, 3, 4):
         cluster.submit("n0", cluster.service(number, parts=2, cpus=0.5))
     for _ in range(30):
         cluster.step()
         cluster.cloud_step("n0")
     assert len(running_tasks(cluster)) == 7
-    assert sick.running() == ["req-000001/0"], "what runs there runs"
-    assert sick.name not in cluster.cloud.deleted
+    assert faulty.running() == ["req-000001/0"], "what runs there runs"
+    assert faulty.name not in cluster.cloud.deleted
     cluster.cancel("n0", "req-000001")
     for _ in range(20):
         cluster.step()
         cluster.cloud_step("n0")
-    assert sick.name in cluster.cloud.deleted
+    assert faulty.name in cluster.cloud.deleted
 
 
 def test_a_machine_that_has_stopped_is_replaced_at_once_its_replicas_too() -> None:
-    cluster = ordinary(3)
+    cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1, parts=1))
-    steps(cluster, 16)
-    name = next(iter(where(cluster)))
+    run_steps(cluster, 16)
+    name = next(iter(replicas_by_machine(cluster)))
     scheduler = cluster.nodes["n0"].scheduler
     cluster.network_cuts.add((name, "n0"))
     failed = Listed(name, "", "small", cluster.workers[name].zone, False, "failed", 60.0)
     scheduler.on_list([failed], cluster.clock.now)
     cluster.cloud_step("n0")
-    steps(cluster, 4)
+    run_steps(cluster, 4)
     assert name in cluster.cloud.deleted and len(running_tasks(cluster)) == 1
 
 
 def test_a_job_that_fails_everywhere_closes_no_machine_to_services() -> None:
-    cluster = ordinary(3)
+    cluster = on_demand_cluster(3)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.service(1, parts=1))
-    steps(cluster, 16)
+    run_steps(cluster, 16)
     cluster.submit("n0", cluster.job(2, parts=1))
     for _ in range(240):
         for worker in cluster.workers.values():
@@ -145,17 +149,17 @@
                     worker.finish(task_id, "error")
         cluster.step()
     cluster.cancel("n0", "req-000002")
-    steps(cluster, 40)
+    run_steps(cluster, 40)
     cluster.submit("n0", cluster.service(4, parts=3))
-    steps(cluster, 6)
-    assert len(where(cluster, "req-000004")) >= 2 and len(running_tasks(cluster)) == 4
+    run_steps(cluster, 6)
+    assert len(replicas_by_machine(cluster, "req-000004")) >= 2 and len(running_tasks(cluster)) == 4
 
 
-def test_a_replica_of_a_lost_machine_runs_elsewhere_after_the_machine_is_surely_gone() -> None:
-    cluster = ordinary(3)
+def test_a_replica_of_a_lost_machine_runs_elsewhere_after_the_machine_is_verifiably_gone() -> None:
+    cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1))
-    steps(cluster, 4)
-    name = next(iter(where(cluster)))
+    run_steps(cluster, 4)
+    name = next(iter(replicas_by_machine(cluster)))
     lost = cluster.workers[name]
     cluster.network_cuts.add((name, "n0"))
     for _ in range(60):
@@ -166,42 +170,42 @@
         assert len(running_tasks(cluster)) == 2 or not lost.running(), (
             "started elsewhere only once it is gone"
         )
-    steps(cluster, 4)
+    run_steps(cluster, 4)
     assert len(running_tasks(cluster)) == 2 and name in cluster.cloud.deleted
 
 
-@pytest.mark.parametrize("owned", [True, False])
-def test_a_service_takes_room_from_work_of_lower_priority_also_under_its_teams_limit(owned: bool) -> None:
+@pytest.mark.parametrize("same_team", [True, False])
+def test_a_service_preempts_work_of_lower_priority_also_under_its_teams_limit(same_team: bool) -> None:
     """Of its own team, when the limit is what binds; of others, when the machines are full."""
-    cluster = ordinary(2 if not owned else 4)
-    cluster.submit("n0", cluster.job(1, crew="red" if owned else "blue", parts=40))
-    steps(cluster, 4)
+    cluster = on_demand_cluster(2 if not same_team else 4)
+    cluster.submit("n0", cluster.job(1, crew="red" if same_team else "blue", parts=40))
+    run_steps(cluster, 4)
     assert len(running_tasks(cluster)) == 8
     cluster.submit("n0", cluster.service(2, crew="red", parts=3))
-    steps(cluster, 6)
-    assert len(where(cluster, "req-000002")) >= 2 and len(running_tasks(cluster)) == 8
+    run_steps(cluster, 6)
+    assert len(replicas_by_machine(cluster, "req-000002")) >= 2 and len(running_tasks(cluster)) == 8
     assert sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 3
-    steps(cluster, 20)
+    run_steps(cluster, 20)
     assert sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 3, "and keeps it"
 
 
-def test_a_service_is_no_victim_of_another_whose_team_is_owed() -> None:
+def test_a_service_is_not_preempted_for_another_whose_team_has_an_unmet_guarantee() -> None:
     """Its team was beyond its guarantee for the arrays beside it; the service was stopped and away for 9
     s."""
-    cluster = ordinary(2)
+    cluster = on_demand_cluster(2)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.service(1, crew="red", parts=4, cpus=2.0))
-    steps(cluster, 4)
-    before = where(cluster)
+    run_steps(cluster, 4)
+    before = replicas_by_machine(cluster)
     assert cluster.nodes["n0"].scheduler.state.quotas[0].exceeds_guarantee
     cluster.submit("n0", cluster.service(2, crew="blue", parts=3, cpus=2.0))
-    steps(cluster, 30)
-    assert where(cluster) == before
-    assert len(running_tasks(cluster)) == 4, "room is rented for the other instead"
+    run_steps(cluster, 30)
+    assert replicas_by_machine(cluster) == before
+    assert len(running_tasks(cluster)) == 4, "machines are launched for the other instead"
 
 
 def test_what_a_service_can_never_get_is_422() -> None:
-    cluster = ordinary()
+    cluster = on_demand_cluster()
     node = cluster.nodes["n0"]
     assert node.submit(cluster.service(1, parts=9))[0] == 422, "all its tasks together, in CPUs"
     assert node.submit(cluster.service(1, parts=3, crew="blue", cards=1.0))[0] == 422, "and in cards"
@@ -218,15 +222,15 @@
 
 
 def test_fields_that_mean_nothing_to_a_service_do_no_harm() -> None:
-    cluster = ordinary()
+    cluster = on_demand_cluster()
     cluster.submit("n0", cluster.service(1, due_s=5.0, bookmark_s=10.0, stash_s=2.0, guess_s=30.0))
-    steps(cluster, 60)
+    run_steps(cluster, 60)
     assert cluster.query("n0", "req-000001") == "running" and len(running_tasks(cluster)) == 2
 
 
-@pytest.mark.parametrize("state", ["running", "resting", "in flight", "silent"])
+@pytest.mark.parametrize("state", ["running", "backing off", "in flight", "silent"])
 def test_a_cancelled_service_is_gone_in_time_whatever_its_replicas_are_doing(state: str) -> None:
-    cluster = ordinary()
+    cluster = on_demand_cluster()
     cluster.submit("n0", cluster.service(1))
     if state == "in flight":
         node = cluster.nodes["n0"]
@@ -234,15 +238,15 @@
         node.scheduler.round()
         node.commit_once()
     else:
-        steps(cluster, 4)
-    if state == "resting":
+        run_steps(cluster, 4)
+    if state == "backing off":
         for _ in range(4):
             for task_id in running_tasks(cluster):
                 for worker in cluster.workers.values():
                     worker.finish(task_id, "error")
             cluster.step()
     if state == "silent":
-        cluster.network_cuts |= {(name, "n0") for name in where(cluster)}
+        cluster.network_cuts |= {(name, "n0") for name in replicas_by_machine(cluster)}
     assert cluster.cancel("n0", "req-000001") == "aborted"
     for _ in range(100):
         cluster.step()  # checks `cancel_s`
@@ -254,19 +258,19 @@
     cluster = Cluster(3)
     for _ in range(3):
         cluster.machine("small", "north", spot=False)
-    steps(cluster, 3)
+    run_steps(cluster, 3)
     cluster.submit("n0", cluster.service(1, parts=3))
-    steps(cluster, 4)
-    before = where(cluster)
+    run_steps(cluster, 4)
+    before = replicas_by_machine(cluster)
     cluster.workers[next(iter(before))].finish("req-000001/0", "error")
-    del cluster.nodes[cluster.leader()]
-    steps(cluster, 14)
-    after = where(cluster)
+    del cluster.nodes[cluster.require_leader()]
+    run_steps(cluster, 14)
+    after = replicas_by_machine(cluster)
     assert sorted(p for parts in after.values() for p in parts) == [f"req-000001/{n}" for n in range(3)]
 
 
 def test_a_replica_that_ends_for_ever_grows_neither_the_task_log_nor_the_memory() -> None:
-    cluster = ordinary(2, value_kb=1.0)
+    cluster = on_demand_cluster(2, value_kb=1.0)
     cluster.submit("n0", cluster.service(1))
     scheduler = cluster.nodes["n0"].scheduler
     rows = []
@@ -283,38 +287,42 @@
     assert len(scheduler.state.recent_services) <= 1
     for worker in cluster.workers.values():
         worker.fails_starts = False
-    steps(cluster, 80)
+    run_steps(cluster, 80)
     changed = cluster.store.rows.copy()
-    steps(cluster, 200)
+    run_steps(cluster, 200)
     log = [k for k, row in cluster.store.rows.items() if k.startswith(records.LOG) and changed.get(k) != row]
     assert len(running_tasks(cluster)) == 2 and not log, "what runs and does not change is not written again"
 
 
-def test_room_is_launched_for_services_before_they_come_and_kept_while_they_stand() -> None:
-    cluster = ordinary(0)
+def test_machines_are_launched_for_services_before_they_come_and_kept_while_they_stand() -> None:
+    cluster = on_demand_cluster(0)
     scheduler = cluster.nodes["n0"].scheduler
     scheduler.state.service_classes = {"desk"}  # as the aims of a site with services name them
     cluster.cloud_step("n0")
-    assert {(x.kind.name, x.spot) for x in cluster.workers.values()} == {("small", False)}
+    assert {(worker.kind.name, worker.spot) for worker in cluster.workers.values()} == {("small", False)}
     floor = len(cluster.workers)
     assert floor * 4.0 >= scheduler.policy.service_floor
-    steps(cluster, 3)
+    run_steps(cluster, 3)
     cluster.submit("n0", cluster.job(1, parts=30, crew="blue", loaners=True))
-    steps(cluster, 4)
+    run_steps(cluster, 4)
     assert len(running_tasks(cluster)) == 16, (
         "work that may run anywhere runs there meanwhile, up to its team's limit"
     )
     cluster.submit("n0", cluster.service(2, parts=2, cpus=4.0))
-    steps(cluster, 6)
-    assert len(where(cluster, "req-000002")) == 2
+    run_steps(cluster, 6)
+    assert len(replicas_by_machine(cluster, "req-000002")) == 2
     cluster.cloud_step("n0")
-    steps(cluster, 4)
-    assert sum(not x.spot for x in cluster.workers.values()) > floor, "the reserve grows with what stands"
+    run_steps(cluster, 4)
+    assert sum(not worker.spot for worker in cluster.workers.values()) > floor, (
+        "the reserve grows with what stands"
+    )
     cluster.cancel("n0", "req-000001")
     for _ in range(60):
         cluster.step(2.0)
         cluster.cloud_step("n0")
-    assert sum(not x.spot for x in cluster.workers.values()) >= floor, "empty machines of the reserve stay"
+    assert sum(not worker.spot for worker in cluster.workers.values()) >= floor, (
+        "empty machines of the reserve stay"
+    )
     cluster.cancel("n0", "req-000002")
     scheduler.state.service_classes = set()
     for _ in range(200):
@@ -324,17 +332,17 @@
 
 
 def test_machines_are_launched_in_the_zone_that_is_open_to_what_waits() -> None:
-    """Found by the random story: the last replica had to be apart, and 70 machines were launched beside the
+    """Found by the random faults: the last replica had to be apart, and 70 machines were launched beside the
     others."""
-    cluster = ordinary(0)
+    cluster = on_demand_cluster(0)
     cluster.machine("small", "north", spot=False)
-    steps(cluster, 3)
+    run_steps(cluster, 3)
     cluster.submit("n0", cluster.service(1, parts=3, apart=True))
     for _ in range(12):
         cluster.step()
         cluster.cloud_step("n0")
     assert len(running_tasks(cluster)) == 3
-    assert {cluster.workers[name].zone for name in where(cluster)} == {"north", "south"}
+    assert {cluster.workers[name].zone for name in replicas_by_machine(cluster)} == {"north", "south"}
     cluster.submit("n0", cluster.service(2, parts=3, together=True, cpus=2.0, crew="blue", yard="south"))
     for _ in range(12):
         cluster.step()
@@ -350,10 +358,10 @@
     assert [(r.pool, r.count) for r in scaling.plan_service_launches([group], types, {}, none)] == [
         (small, 6)
     ]
-    got = scaling.plan_service_launches([group], types, {small: 3}, none)
-    assert [(r.pool, r.count) for r in got] == [(small, 3)]
-    got = scaling.plan_service_launches([group], types, {small: 3}, frozenset({small}))
-    assert [(r.pool, r.count) for r in got] == [(cards, 2)], "another kind where the first is refused"
+    planned = scaling.plan_service_launches([group], types, {small: 3}, none)
+    assert [(r.pool, r.count) for r in planned] == [(small, 3)]
+    planned = scaling.plan_service_launches([group], types, {small: 3}, frozenset({small}))
+    assert [(r.pool, r.count) for r in planned] == [(cards, 2)], "another kind where the first is refused"
     assert scaling.plan_service_launches([group], types, {small: 3, cards: 2}, none) == []
 
 
@@ -377,38 +385,39 @@
 
 
 def test_the_balancer_moves_a_replica_for_no_lesser_work_and_only_to_its_image() -> None:
-    cluster = ordinary(1)
+    cluster = on_demand_cluster(1)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.service(1, crew="blue", parts=1))
-    steps(cluster, 16)
-    here = next(iter(where(cluster)))
+    run_steps(cluster, 16)
+    here = next(iter(replicas_by_machine(cluster)))
     for _ in range(2):
         cluster.machine("cards", "north", spot=False)
-    steps(cluster, 3)
+    run_steps(cluster, 3)
     cluster.submit("n0", cluster.service(5, crew="blue", parts=1, cpus=8.0, builds=["cards"], bundle="img-2"))
-    steps(cluster, 3)
+    run_steps(cluster, 3)
     cluster.submit("n0", cluster.service(3, crew="blue", parts=1, cpus=4.0, builds=["small"]))
-    steps(cluster, 30)
-    assert list(where(cluster)) == [here], "no gap as long as a fetch"
+    run_steps(cluster, 30)
+    assert list(replicas_by_machine(cluster)) == [here], "no gap as long as a fetch"
     cluster.cancel("n0", "req-000003")
     cluster.submit("n0", cluster.job(2, crew="blue", parts=1, cpus=4.0, builds=["small"], rank="urgent"))
-    cluster.submit(
-        "n0", cluster.service(4, crew="blue", parts=1, cpus=0.5, builds=["cards"])
-    )  # it brings the image there
-    steps(cluster, 30)
-    assert list(where(cluster)) == [here], "nor any for what may wait"
+    # This one brings the image there.
+    cluster.submit("n0", cluster.service(4, crew="blue", parts=1, cpus=0.5, builds=["cards"]))
+    run_steps(cluster, 30)
+    assert list(replicas_by_machine(cluster)) == [here], "nor any for what may wait"
     cluster.submit("n0", cluster.service(6, crew="blue", parts=1, cpus=4.0, builds=["small"]))
-    steps(cluster, 30)
-    assert list(where(cluster)) != [here] and list(where(cluster, "req-000006")) == [here]
+    run_steps(cluster, 30)
+    assert list(replicas_by_machine(cluster)) != [here] and list(
+        replicas_by_machine(cluster, "req-000006")
+    ) == [here]
     assert cluster.nodes["n0"].scheduler.state.moves == 1
 
 
-def test_the_readme_s_daemon_can_be_submitted_looked_at_and_called_off() -> None:
+def test_the_readmes_service_can_be_submitted_queried_and_cancelled() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     body = text.split("echo '")[1].split("' > daemon.json")[0].replace("TEAM", "red").encode()
-    cluster = ordinary()
+    cluster = on_demand_cluster()
     assert cluster.submit("n0", body) == 201
     assert cluster.query("n0", "req-web1") == "pending"
-    steps(cluster, 4)
+    run_steps(cluster, 4)
     assert cluster.query("n0", "req-web1") == "running" and len(running_tasks(cluster)) == 2
     assert cluster.cancel("n0", "req-web1") == "aborted"
--- a/tests/test_tempered.py
+++ b/tests/test_tempered.py
@@ -60,7 +60,7 @@
     assert plan.moves[0].target == 1, "to host 2 the loads would only swap"
     # loads then 0.5, 0.75, 0.5: average 0.583
     assert plan.imbalance == pytest.approx(0.75 / (1.75 / 3) - 1)
-    assert [len(h.items) for h in hosts] == [3, 1, 1], "the picture itself is untouched"
+    assert [len(h.items) for h in hosts] == [3, 1, 1], "the snapshot itself is untouched"
 
 
 def test_every_resource_must_fit_and_the_job_must_allow_the_target() -> None:
@@ -101,9 +101,9 @@
     best = tempered.free_room(hosts, 0, need, Counts(10, 1, 4), ANY, rng)
     rng.setstate(state)
     singles = [tempered.free_room(hosts, 0, need, Counts(1, 1, 4), ANY, rng) for _ in range(10)]
-    found = [s.imbalance for s in singles if s is not None]
-    assert best is not None and best.imbalance == min(found)
-    assert len(set(found)) > 1, "the trials differ, so the choice matters"
+    imbalances = [s.imbalance for s in singles if s is not None]
+    assert best is not None and best.imbalance == min(imbalances)
+    assert len(set(imbalances)) > 1, "the trials differ, so the choice matters"
 
 
 def test_the_budget_rounds_up_so_one_moves_while_any_runs() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -2,6 +2,7 @@
 
 import json
 from pathlib import Path
+from typing import Any
 
 import msgspec
 import orjson
@@ -13,27 +14,27 @@
 from bayford.coordination.workers.relay import heartbeats_in
 from bayford.protocol import mesh, workers
 from bayford.storage import load_summary, records, task_log
-from bayford.storage.key_value_store import Row, TooLargeError
+from bayford.storage.key_value_store import Put, Row, TooLargeError
 
 # Each form as the version in production writes it, made once by that version.
 GOLDEN = json.loads((Path(__file__).parent / "fixtures" / "production.json").read_text())
-COMING = "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0"
+NEXT_LIMITS = "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0"
 
 
 def golden_task_log() -> task_log.TaskLog:
-    found = task_log.TaskLog(GOLDEN["layout_bytes"])
-    found.rebuild([tuple(row) for row in GOLDEN["rows"]])
-    return found
+    log = task_log.TaskLog(GOLDEN["layout_bytes"])
+    log.rebuild([tuple(row) for row in GOLDEN["rows"]])
+    return log
 
 
-def told(found: task_log.TaskLog) -> dict:
+def progress_of(log: task_log.TaskLog) -> dict[str, Any]:
     return {
         job: {"open": {str(t): list(p) for t, p in sorted(g.open.items())}, "done": sorted(g.done)}
-        for job, g in sorted(found.jobs.items())
+        for job, g in sorted(log.jobs.items())
     }
 
 
-def shape(value: object) -> object:
+def shape(value: object) -> Any:
     """The form of a value without its contents: what a reader that takes no unknown fields compares."""
     if isinstance(value, dict):
         return {k: shape(v) for k, v in value.items()}
@@ -53,31 +54,31 @@
 
 
 def test_rows_of_production_add_up_and_a_short_row_after_them_has_their_form() -> None:
-    found = golden_task_log()
-    assert told(found) == GOLDEN["state"]
+    log = golden_task_log()
+    assert progress_of(log) == GOLDEN["state"]
     assert [
-        found.next,
-        found.tail,
-        found.next_attempt,
-        [list(s) for s in found.next_slots(3)],
+        log.next,
+        log.tail,
+        log.next_attempt,
+        [list(s) for s in log.next_slots(3)],
     ] == GOLDEN["next"]
     known = {key for _, _, row in GOLDEN["rows"] for key in row} | {"x", "c"}
     rows = [tuple(row) for row in GOLDEN["rows"]]
     version = 1000
     for _ in range(120):
-        maker = task_log.RowBuilder(found, found.next, found.reclaimable_tail(), found.next_attempt, 2048)
+        maker = task_log.RowBuilder(log, log.next, log.reclaimable_tail(), log.next_attempt, 2048)
         maker.add_snapshots()
-        slot, _ = found.next_slots(1)[0]
+        slot, _ = log.next_slots(1)[0]
         value = orjson.loads(orjson.dumps(maker.build()))
         assert set(value) <= known, "an old reader takes no unknown field"
         assert len(orjson.dumps(value)) <= 2048
         version += 1
-        found.apply_row(slot, version, value)
+        log.apply_row(slot, version, value)
         rows = [row for row in rows if row[0] != slot] + [(slot, version, value)]
-    assert told(found) == GOLDEN["state"]
+    assert progress_of(log) == GOLDEN["state"]
     fresh = task_log.TaskLog(GOLDEN["layout_bytes"])
     fresh.rebuild(rows)
-    assert told(fresh) == GOLDEN["state"]
+    assert progress_of(fresh) == GOLDEN["state"]
     assert max(len(orjson.dumps(value)) for _, _, value in rows if value["n"] >= fresh.tail) <= 2048
 
 
@@ -87,15 +88,18 @@
     assert mesh.pack_heartbeats(heartbeats, 2000) == [GOLDEN["relay"]["reports"]]
     rows = [Row(key, value, 5) for key, value in GOLDEN["summary"]]
     assert load_summary.newest(rows, 0.0) == {"vm-000231": ["img-07", "img-1"], "vm-000232": ["img-1"]}
-    picture = [("vm-000231", 0.5, ["img-07", "img-1"]), ("vm-000232", 0.0, ["img-1"])]
-    assert [[p.key, p.value] for p in load_summary.encode("n2", 1700000003.0, picture, 2048, 0)] == GOLDEN[
+    machines = [("vm-000231", 0.5, ["img-07", "img-1"]), ("vm-000232", 0.0, ["img-1"])]
+    assert [[p.key, p.value] for p in load_summary.encode("n2", 1700000003.0, machines, 2048, 0)] == GOLDEN[
         "summary"
     ]
     status = mesh.decode_status(orjson.dumps(GOLDEN["status"]))
     assert (status.member, status.fencing_token, status.served, status.release) == ("n2", 7, True, 1)
-    ours = orjson.loads(mesh.encode_status(mesh.Status("n2", 7, "n2", True, mesh.RELEASE)))
-    assert {k: ours[k] for k in GOLDEN["status"]} == GOLDEN["status"]
-    commands = [workers.Start("req-000412/4", 2), workers.Stop("req-000377/1", 1, 10.0)]
+    status_now = orjson.loads(mesh.encode_status(mesh.Status("n2", 7, "n2", True, mesh.RELEASE)))
+    assert {k: status_now[k] for k in GOLDEN["status"]} == GOLDEN["status"]
+    commands: list[workers.Command] = [
+        workers.Start("req-000412/4", 2),
+        workers.Stop("req-000377/1", 1, 10.0),
+    ]
     assert (
         orjson.loads(workers.encode_response(7, [*commands, workers.Reap("req-000398/0", 1)]))
         == GOLDEN["answer"]
@@ -214,7 +218,7 @@
     cluster.store.txn_ops, cluster.store.value_bytes = 2, 300
     node._put_all(
         [
-            load_summary.Put(f"b/relay/n0/{n}", {"at": 1.0, "reports": "x" * size})
+            Put(f"b/relay/n0/{n}", {"at": 1.0, "reports": "x" * size})
             for n, size in enumerate([10, 20, 900, 30])
         ]
     )
@@ -253,12 +257,12 @@
         for task_id in running_tasks(cluster):
             if task_id.startswith("req-000001") and cluster.rng.random() < 0.1:
                 cluster.finish(task_id)
-    before = cluster.nodes["n0"].watch_cache.with_task_log(told)
+    before = cluster.nodes["n0"].watch_cache.with_task_log(progress_of)
     assert any("s" in row[0] for key, row in cluster.store.rows.items() if key.startswith(records.LOG))
     cluster.value_kb = 0.6
     node = cluster.boot("n0")
     assert node.limits.value_bytes == 614
-    assert node.watch_cache.with_task_log(told) == before
+    assert node.watch_cache.with_task_log(progress_of) == before
     for _ in range(30):
         cluster.step()
         for task_id in running_tasks(cluster):
@@ -270,7 +274,7 @@
 def test_a_layout_that_can_not_be_read_is_no_reason_to_guess() -> None:
     cluster = started_cluster(nodes=2)
     cluster.submit("n0", cluster.job(1))
-    cluster.store._change([load_summary.Put(records.LAYOUT, "oops")])
+    cluster.store._change([Put(records.LAYOUT, "oops")])
     for name in cluster.nodes:
         cluster.boot(name)
     for _ in range(10):
@@ -283,9 +287,9 @@
 # -- who takes over --------------------------------------------------------------------------------------
 
 
-def upgrading(machines: int = 2) -> Cluster:
+def cluster_of_old_release(machines: int = 2) -> Cluster:
     """Three old controllers, an old leader, and work that runs."""
-    cluster = Cluster(3, next_limits=COMING, old_release=["n0", "n1", "n2"])
+    cluster = Cluster(3, next_limits=NEXT_LIMITS, old_release=["n0", "n1", "n2"])
     for _ in range(machines):
         cluster.machine()
     cluster.submit("n0", cluster.job(1, parts=3))
@@ -295,7 +299,7 @@
     return cluster
 
 
-def renew(cluster: Cluster, name: str) -> None:
+def upgrade(cluster: Cluster, name: str) -> None:
     """It is killed and comes back with the new version, a while later."""
     del cluster.nodes[name]
     for _ in range(8):
@@ -305,10 +309,10 @@
 
 
 def test_the_first_new_controller_takes_over_from_an_old_leader_and_it_is_the_only_failover() -> None:
-    cluster = upgrading()
+    cluster = cluster_of_old_release()
     fencing_token = cluster.nodes["n0"].membership.record.fencing_token
     for name in ("n2", "n1", "n0"):
-        renew(cluster, name)
+        upgrade(cluster, name)
         for _ in range(20):
             cluster.step()
         assert cluster.leader() == "n2", "not handed to one that is still to go, nor back"
@@ -317,11 +321,11 @@
     assert not cluster.nodes["n0"].peers.older() and not cluster.nodes["n2"].peers.older()
 
 
-def test_no_failover_from_an_old_leader_while_anybody_is_out_of_reach() -> None:
-    cluster = upgrading()
-    renew(cluster, "n2")
+def test_no_failover_from_an_old_leader_while_any_controller_is_unreachable() -> None:
+    cluster = cluster_of_old_release()
+    upgrade(cluster, "n2")
     for _ in range(3):
-        cluster.step()  # it has heard them all
+        cluster.step()  # it has got the status of all
     cluster.mesh_cuts.add("n1")
     for _ in range(20):
         cluster.step()
@@ -333,8 +337,8 @@
 
 
 def test_a_new_controller_comes_before_an_old_one_when_the_leader_is_gone() -> None:
-    cluster = upgrading()
-    renew(cluster, "n1")
+    cluster = cluster_of_old_release()
+    upgrade(cluster, "n1")
     cluster.mesh_cuts.add("n2")  # so that it does not take over while the leader lives
     cluster.step()
     new, old = cluster.nodes["n1"].membership, cluster.nodes["n2"].membership
@@ -345,8 +349,8 @@
 
 
 def test_a_controller_that_comes_back_old_within_an_instant_takes_nothing_and_loses_nothing() -> None:
-    cluster = upgrading()
-    renew(cluster, "n2")
+    cluster = cluster_of_old_release()
+    upgrade(cluster, "n2")
     for _ in range(20):
         cluster.step()
     assert cluster.leader() == "n2"
@@ -376,25 +380,28 @@
     assert {cluster.query(name, f"req-00000{n}") for name in cluster.nodes for n in (1, 2)} == {"done"}
 
 
-def test_too_large_is_told_from_an_outage(cluster: Cluster) -> None:
+def test_too_large_is_distinguished_from_an_outage(cluster: Cluster) -> None:
     cluster.store.value_bytes = 10
     with pytest.raises(TooLargeError):
-        cluster.nodes["n0"].store.compare_and_swap({}, [load_summary.Put("b/x", "y" * 20)])
-    assert cluster.nodes["n0"].limits.value_bytes == 8192, "only a commit of the owner's teaches"
+        cluster.nodes["n0"].store.compare_and_swap({}, [Put("b/x", "y" * 20)])
+    assert cluster.nodes["n0"].limits.value_bytes == 8192, "only a commit of the leader changes it"
 
 
-def test_an_old_leader_is_not_told_of_cancellations_and_stops_their_tasks_all_the_same() -> None:
-    """Release 1 knows no such news and answers 404, which counts as told: its own watch tells it."""
-    cluster = upgrading()
-    renew(cluster, "n2")
+def test_an_old_leader_is_not_notified_of_cancellations_and_stops_their_tasks_all_the_same() -> None:
+    """Release 1 knows no such notice and answers 404, which counts as notified: its own watch shows it."""
+    cluster = cluster_of_old_release()
+    upgrade(cluster, "n2")
     assert cluster.leader() in cluster.old_release and "n2" not in cluster.old_release
-    cluster.nodes["n2"].notices.notify = {
-        name: lambda told: last_heartbeat_at.append(told) or True for name in cluster.old_release
-    }
-    last_heartbeat_at: list[dict] = []
+    notified: list[dict[str, float]] = []
+
+    def notify(cancelled: dict[str, float]) -> bool:
+        notified.append(cancelled)
+        return True
+
+    cluster.nodes["n2"].notices.notify = dict.fromkeys(cluster.old_release, notify)
     assert cluster.cancel("n2", "req-000001") == "aborted"
     assert cluster.nodes["n2"].notices.send() and cluster.nodes["n2"].notices.send()
-    assert [list(told) for told in last_heartbeat_at] == [["req-000001"]], "once, and not again and again"
+    assert [list(cancelled) for cancelled in notified] == [["req-000001"]], "once, and not again and again"
     for _ in range(4):
         cluster.step()
     assert not running_tasks(cluster)
