--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -24,10 +24,14 @@
     assert not any(worker.tasks for worker in cluster.workers.values()), "ended tasks are reaped"
 
 
-def test_an_idempotent_request_gets_the_state_from_any_controller_and_unknown_ids_get_404() -> None:
+def test_an_idempotent_request_gets_the_state_from_any_controller() -> None:
     cluster = started_cluster(nodes=3)
     assert cluster.submit("n2", cluster.job(1)) == 201
     assert cluster.submit("n1", cluster.job(1)) == 200
+
+
+def test_queries_and_cancellations_of_unknown_ids_get_404() -> None:
+    cluster = started_cluster(nodes=3)
     assert cluster.nodes["n1"].query("req-000999")[0] == 404
     assert cluster.nodes["n1"].cancel("req-000999")[0] == 404
 
@@ -40,12 +44,17 @@
     assert cluster.nodes["n1"].submit(cluster.job(2))[0] == 503
 
 
-def test_422_for_what_can_never_run_but_not_for_a_known_job(cluster: Cluster) -> None:
+def test_what_can_never_run_gets_422(cluster: Cluster) -> None:
     assert cluster.nodes["n0"].submit(cluster.job(1, crew="green"))[0] == 422
     assert cluster.nodes["n0"].submit(cluster.job(1, cpus=6.0, builds=["small"]))[0] == 422
     assert cluster.nodes["n0"].submit(cluster.job(1, cpus=3.0, shape="gang", parts=3))[0] == 422, "8 at most"
     assert cluster.nodes["n0"].submit(cluster.job(1, cards=1.0, shape="gang", parts=3, crew="blue"))[0] == 422
     assert cluster.nodes["n0"].submit(cluster.job(1, yard="south", cards=1.0, crew="blue"))[0] == 422
+
+
+def test_while_machine_types_are_unknown_new_jobs_get_503_and_known_ones_their_state(
+    cluster: Cluster,
+) -> None:
     cluster.nodes["n0"].scheduler.state.types = []
     assert cluster.nodes["n0"].submit(cluster.job(2))[0] == 503, "machine types unknown: can't decide"
     cluster.nodes["n0"].scheduler.set_types(cluster.cloud.catalog())
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Which task is stopped when urgent work needs capacity (`scheduling.preemption`)."""
+"""Which task is preempted when urgent work needs capacity (`scheduling.preemption`)."""
 
 import pytest
 from fakes.scenarios import run_for, running_tasks, started_cluster
@@ -44,12 +44,12 @@
     return delay_cost(job, job.open[9], now, EXPECTED_S, due_s)
 
 
-def test_a_job_with_tasks_waiting_loses_no_time_by_one_more() -> None:
+def test_a_job_with_waiting_tasks_loses_no_time_by_one_more() -> None:
     assert cost(array(waiting=10)) == 0.0
     assert cost(array(waiting=0)) == EXPECTED_S, "its last task begins anew"
 
 
-def test_each_stop_makes_the_next_one_costlier() -> None:
+def test_each_preemption_makes_the_next_one_costlier() -> None:
     job = array()
     job.note_preemption(9)
     job.note_preemption(9)
@@ -64,17 +64,17 @@
         (130.0, 0.0),  # late either way
     ],
 )
-def test_a_deadline_that_the_stop_would_miss_counts(due_s: float, expected: float) -> None:
+def test_a_deadline_that_the_preemption_would_miss_counts(due_s: float, expected: float) -> None:
     assert cost(array(), due_s) == expected
 
 
-def test_what_keeps_its_progress_costs_nothing_more() -> None:
+def test_preempting_what_keeps_its_progress_costs_nothing_more() -> None:
     assert cost(array(waiting=0, checkpoint_interval_s=30.0)) == 0.0
     assert cost(array(waiting=0, shape=SERVICE)) == 0.0
 
 
-def test_the_same_task_is_not_stopped_again_and_again() -> None:
-    """The task that was stopped last had always run for the shortest time, so each urgent job stopped it once
+def test_the_same_task_is_not_preempted_again_and_again() -> None:
+    """The task preempted last had always run for the shortest time, so each urgent job preempted it once
     more: on a recorded day's like, single tasks ended a hundred seconds after the rest of their array."""
     cluster = started_cluster(machines=1)
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, guess_s=300.0))
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -64,7 +64,7 @@
     assert zones == {"north", "south"}
 
 
-def test_a_replica_that_ends_runs_again_at_once_and_one_that_can_not_run_delays_no_other() -> None:
+def test_a_replica_that_ends_runs_again_at_once_and_one_that_cannot_run_delays_no_other() -> None:
     cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1, parts=3))
     run_steps(cluster, 4)
@@ -122,7 +122,7 @@
     assert faulty.name in cluster.cloud.deleted
 
 
-def test_a_machine_that_has_stopped_is_replaced_at_once_its_replicas_too() -> None:
+def test_a_failed_machine_is_replaced_at_once_and_its_replicas_too() -> None:
     cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1, parts=1))
     run_steps(cluster, 16)
@@ -331,7 +331,7 @@
     assert not cluster.workers, "and goes when nothing stands any more"
 
 
-def test_machines_are_launched_in_the_zone_that_is_open_to_what_waits() -> None:
+def test_machines_are_launched_in_the_zone_that_waiting_work_may_use() -> None:
     """Found by the random faults: the last replica had to be apart, and 70 machines were launched beside the
     others."""
     cluster = on_demand_cluster(0)
@@ -350,7 +350,7 @@
     assert len(running_tasks(cluster)) == 6
 
 
-def test_what_stands_is_held_by_so_many_machines_of_each_kind(cluster: Cluster) -> None:
+def test_standing_services_get_enough_machines_of_each_type(cluster: Cluster) -> None:
     types = cluster.nodes["n0"].scheduler.types
     small, cards = scaling.MachinePool(0, 0, False), scaling.MachinePool(1, 0, False)
     group = scaling.Group(frozenset({small, cards}), {0: 6.0, 1: 3.0})
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -82,7 +82,7 @@
     assert max(len(orjson.dumps(value)) for _, _, value in rows if value["n"] >= fresh.tail) <= 2048
 
 
-def test_relay_texts_summaries_status_and_answers_of_production_are_read_and_still_written_so() -> None:
+def test_relay_values_summaries_status_and_responses_of_production_are_read_and_still_written_so() -> None:
     name, heartbeats = heartbeats_in(Row("b/relay/n2/0", GOLDEN["relay"], 5), GOLDEN["relay"]["at"])
     assert name == "n2" and [msgspec.to_builtins(r) for r in heartbeats] == [GOLDEN["report"]]
     assert mesh.pack_heartbeats(heartbeats, 2000) == [GOLDEN["relay"]["reports"]]
@@ -205,7 +205,7 @@
     assert cluster.query("n0", "req-000002") == "aborted"
 
 
-def test_a_submission_that_can_not_be_kept_under_the_limit_to_come_is_refused_for_good() -> None:
+def test_a_submission_that_does_not_fit_the_limit_to_come_is_refused_for_good() -> None:
     cluster = started_cluster(next_limits="value_kb = 0.5")
     status, body, _ = cluster.nodes["n0"].submit(cluster.job(1, lane="x" * 200, bundle="é" * 200))
     assert status == 400 and b"bytes" in body
@@ -271,7 +271,7 @@
     assert cluster.query("n0", "req-000001") == "done"
 
 
-def test_a_layout_that_can_not_be_read_is_no_reason_to_guess() -> None:
+def test_a_layout_that_cannot_be_read_is_no_reason_to_guess() -> None:
     cluster = started_cluster(nodes=2)
     cluster.submit("n0", cluster.job(1))
     cluster.store._change([Put(records.LAYOUT, "oops")])
