--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -66,11 +66,11 @@
 
         await_state(lambda: not undone(), "what was accepted is done")
 
-        told, changes = users.told(), state.history()
+        answers, changes = users.told(), state.history()
         flows = {s.job["id"]: flow_of(s.job) for s in submissions}
-        assert any(answer.status == 429 for answer in told), "it was a flood"
-        assert against_level(changes, flows) == [] and refused_wrongly(changes, told, flows) == []
-        assert chosen_differently([*told, *accepted_under(changes)]) == []
+        assert any(answer.status == 429 for answer in answers), "it was a flood"
+        assert against_level(changes, flows) == [] and refused_wrongly(changes, answers, flows) == []
+        assert chosen_differently([*answers, *accepted_under(changes)]) == []
         history = list(site.fleet.history)
         assert ran_twice(history) == [] and done_again(history) == []
         served = {(s.job["lane"], s.job["crew"]) for s in accepted}
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "wrong"),
+    ("phases", "wrong"),
     [
         ({"n0": "done", "n1": "done"}, []),
         ({"n0": "done", "n1": "running"}, ["req-1"]),
@@ -96,8 +96,8 @@
         ({}, ["req-1"]),
     ],
 )
-def test_the_check_of_answers_finds_what_is_wrong(told: dict[str, str | None], wrong: list[str]) -> None:
-    assert without_one_answer({"req-1": told}, "done") == wrong
+def test_the_check_of_answers_finds_what_is_wrong(phases: dict[str, str | None], wrong: list[str]) -> None:
+    assert without_one_answer({"req-1": phases}, "done") == wrong
 
 
 RECOVER = (
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -41,7 +41,7 @@
             cluster.machine("small", zone, spot)
     for _ in range(3):
         cluster.step()
-    cluster.submit("n0", cluster.job(1, parts=8, together=True, crew="blue"))  # the world checks each start
+    cluster.submit("n0", cluster.job(1, parts=8, together=True, crew="blue"))  # the cluster checks each start
     cluster.submit("n0", cluster.job(2, parts=5, apart=True, crew="red"))
     cluster.submit("n0", cluster.job(3, parts=1, loaners=False, yard="south", crew="red"))
     for _ in range(6):
