--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -8,11 +8,11 @@
 import msgspec
 import orjson
 import pytest
-from cluster_helpers import leader_name, leader_of
+from cluster_helpers import leader_of
+from fakes.cluster import Cluster
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from world import World
 
 from bayford.admission.choice import decide
 from bayford.admission.facts import TaskLogFacts, WorkloadFacts
@@ -45,9 +45,9 @@
 NODES = ("n0", "n1", "n2")
 
 
-def admission_cluster(policy: Policy = ADMISSION_ON, machines: int = 4) -> World:
+def admission_cluster(policy: Policy = ADMISSION_ON, machines: int = 4) -> Cluster:
     """Three controllers with admission control, a leader and idle on-demand machines."""
-    cluster = World(nodes=3, policy=policy, writes=10.0)
+    cluster = Cluster(nodes=3, policy=policy, writes=10.0)
     for _ in range(machines):
         cluster.machine(spot=False)
     for _ in range(4):
@@ -56,7 +56,7 @@
 
 
 @pytest.fixture(name="cluster")
-def _cluster() -> World:
+def _cluster() -> Cluster:
     return admission_cluster()
 
 
@@ -66,19 +66,19 @@
     return Level(number, 1.0, key, "submissions", windows=(Window(1, "sweep", "red", start, width),))
 
 
-def publish(cluster: World, value: object) -> int:
+def publish(cluster: Cluster, value: object) -> int:
     """Store a level in the leader's place; the revision of the store."""
-    outcome = cluster.state.execute({}, [Put(records.ADMISSION, value)])
+    outcome = cluster.store.execute({}, [Put(records.ADMISSION, value)])
     assert outcome.applied
     return outcome.revision
 
 
-def submission_of(cluster: World, number: int, **fields: Any) -> bytes:
+def submission_of(cluster: Cluster, number: int, **fields: Any) -> bytes:
     """The submission of a job of one task."""
     return cluster.job(number, parts=1, **fields)
 
 
-def submit(cluster: World, node: str, number: int, **fields: Any) -> SubmissionAnswer:
+def submit(cluster: Cluster, node: str, number: int, **fields: Any) -> SubmissionAnswer:
     """Submit a job; the answer, with the revision of the level that a refusal names."""
     body = submission_of(cluster, number, **fields)
     response = cluster.nodes[node].submit(body)
@@ -94,13 +94,13 @@
     return next(n for n in range(start, 10_000) if not decide(in_force, flow, f"req-{n:06d}").admitted)
 
 
-def stored_level(cluster: World) -> Level:
+def stored_level(cluster: Cluster) -> Level:
     """The level in the store."""
-    return msgspec.convert(cluster.state.rows[records.ADMISSION][0], Level)
+    return msgspec.convert(cluster.store.rows[records.ADMISSION][0], Level)
 
 
 def flood(
-    cluster: World, seconds: float, first: int, per_s: int = 30, nodes: Sequence[str] = NODES, **fields: Any
+    cluster: Cluster, seconds: float, first: int, per_s: int = 30, nodes: Sequence[str] = NODES, **fields: Any
 ) -> list[SubmissionAnswer]:
     """Submit new jobs, numbered from `first`, and refused ones again after 3 s; all answers."""
     answers: list[SubmissionAnswer] = []
@@ -122,7 +122,7 @@
 
 
 def test_three_controllers_give_the_same_answer_while_the_level_changes(
-    cluster: World, monkeypatch: pytest.MonkeyPatch
+    cluster: Cluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A controller reads the old level just before the new one is written: its acceptance must fail."""
     publish(cluster, encode(level(0.5), 4096))
@@ -133,77 +133,77 @@
         if decide(level(0.5), SWEEP, f"req-{n:06d}").admitted
         and not decide(strict, SWEEP, f"req-{n:06d}").admitted
     )
-    commit = cluster.state.execute
+    commit = cluster.store.execute
 
     def level_first(conditions: dict[str, int], puts: list[Put]) -> Outcome:
         if any(put.key.startswith(records.JOBS) for put in puts) and stored_level(cluster).number == 1:
             commit({}, [Put(records.ADMISSION, encode(strict, 4096))])
         return commit(conditions, puts)
 
-    monkeypatch.setattr(cluster.state, "execute", level_first)
+    monkeypatch.setattr(cluster.store, "execute", level_first)
     answers = [submit(cluster, node, number) for node in NODES]
     assert [answer.status for answer in answers] == [429, 429, 429]
     assert len({answer.revision for answer in answers}) == 1
-    assert records.key(f"req-{number:06d}") not in cluster.state.rows
+    assert records.key(f"req-{number:06d}") not in cluster.store.rows
 
 
-def test_a_restarted_controller_answers_by_the_stored_level(cluster: World) -> None:
+def test_a_restarted_controller_answers_by_the_stored_level(cluster: Cluster) -> None:
     revision = publish(cluster, encode(level(0.1), 4096))
     number = refused_number(level(0.1))
     cluster.boot("n2")
     assert submit(cluster, "n2", number) == SubmissionAnswer("n2", f"req-{number:06d}", 429, revision)
 
 
-@pytest.mark.parametrize("fault", ["lost", "refuses", "blind"])
-def test_a_controller_without_the_store_decides_nothing_by_an_old_level(cluster: World, fault: str) -> None:
+@pytest.mark.parametrize("fault", ["unreachable_from", "unavailable_to", "reads_unanswered_for"])
+def test_a_controller_without_the_store_decides_nothing_by_an_old_level(cluster: Cluster, fault: str) -> None:
     publish(cluster, encode(level(0.5), 4096))
     admitted = next(n for n in range(1, 99) if decide(level(0.5), SWEEP, f"req-{n:06d}").admitted)
     assert submit(cluster, "n2", refused_number(level(0.5))).status == 429
-    getattr(cluster.state, fault).add("n2")
+    getattr(cluster.store, fault).add("n2")
     publish(cluster, encode(level(0.01, 2), 4096))
     assert submit(cluster, "n2", admitted).status == 503
     assert submit(cluster, "n2", refused_number(level(0.5))).status == 503
 
 
-def test_a_level_that_is_applied_after_its_successors_has_no_effect(cluster: World) -> None:
-    leader = leader_name(cluster)
+def test_a_level_that_is_applied_after_its_successors_has_no_effect(cluster: Cluster) -> None:
+    leader = cluster.require_leader()
     flood(cluster, 6, 1)
-    cluster.state.hold.add(leader)
+    cluster.store.delays_next_write_of.add(leader)
     node = cluster.nodes[leader]
     node.admission.control.not_written()
-    assert not cluster.try_(node.admission.publish_once), "its response is lost"
-    assert cluster.state.held
-    assert cluster.state.held[0][1][0].key == records.ADMISSION
+    assert not cluster.try_step(node.admission.publish_once), "its response is lost"
+    assert cluster.store.delayed_writes
+    assert cluster.store.delayed_writes[0][1][0].key == records.ADMISSION
     del cluster.nodes[leader]
     rest = [name for name in NODES if name != leader]
     flood(cluster, 8, 1000, nodes=rest)
-    before = cluster.state.rows[records.ADMISSION]
+    before = cluster.store.rows[records.ADMISSION]
     assert cluster.leader() not in (None, leader)
-    assert not cluster.state.release()[0].applied
-    assert cluster.state.rows[records.ADMISSION] == before
+    assert not cluster.store.execute_delayed_writes()[0].applied
+    assert cluster.store.rows[records.ADMISSION] == before
 
 
-def test_an_acceptance_whose_response_was_lost_remains_valid_under_a_stricter_level(cluster: World) -> None:
+def test_an_acceptance_whose_response_was_lost_remains_valid_under_a_stricter_level(cluster: Cluster) -> None:
     number = refused_number(level(0.1))
-    cluster.state.lose_answer.add("n1")
+    cluster.store.loses_next_response_to.add("n1")
     assert submit(cluster, "n1", number).status == 503
     publish(cluster, encode(level(0.1), 4096))
     assert [submit(cluster, node, number).status for node in NODES] == [200, 200, 200]
 
 
-def test_an_acceptance_that_is_applied_late_is_invalid_under_a_newer_level(cluster: World) -> None:
+def test_an_acceptance_that_is_applied_late_is_invalid_under_a_newer_level(cluster: Cluster) -> None:
     number = refused_number(level(0.1))
-    cluster.state.hold.add("n1")
+    cluster.store.delays_next_write_of.add("n1")
     assert submit(cluster, "n1", number).status == 503
     publish(cluster, encode(level(0.1), 4096))
-    assert not cluster.state.release()[0].applied
+    assert not cluster.store.execute_delayed_writes()[0].applied
     assert [submit(cluster, node, number).status for node in NODES] == [429, 429, 429]
 
 
-def test_a_refusal_is_answered_at_once_and_writes_nothing(cluster: World) -> None:
+def test_a_refusal_is_answered_at_once_and_writes_nothing(cluster: Cluster) -> None:
     publish(cluster, encode(level(0.1), 4096))
     number = refused_number(level(0.1))
-    before = dict(cluster.state.rows)
+    before = dict(cluster.store.rows)
     response = cluster.nodes["n0"].submit(submission_of(cluster, number))
     body = orjson.loads(response.body)
     assert (response.status, body["class"], body["team"], body["reason"]) == (
@@ -213,13 +213,13 @@
         "submissions",
     )
     assert 1 <= response.retry_after_s <= 30
-    assert cluster.state.rows == before
+    assert cluster.store.rows == before
     repeated = cluster.nodes["n1"].submit(submission_of(cluster, number))
     assert (repeated.status, orjson.loads(repeated.body)) == (429, body), "the same from every controller"
     assert submit(cluster, "n0", number, rank="urgent", lane="build").status == 201, "another flow"
 
 
-def test_cancellations_queries_and_idempotent_requests_pass_in_a_flood(cluster: World) -> None:
+def test_cancellations_queries_and_idempotent_requests_pass_in_a_flood(cluster: Cluster) -> None:
     number = refused_number(level(0.01))
     assert submit(cluster, "n0", number).status == 201
     publish(cluster, encode(level(0.01), 4096))
@@ -229,7 +229,7 @@
     assert submit(cluster, "n0", number).status == 200
 
 
-def test_invalid_submissions_do_not_count_as_demand(cluster: World) -> None:
+def test_invalid_submissions_do_not_count_as_demand(cluster: Cluster) -> None:
     for number in range(1, 200):
         node = cluster.nodes[NODES[number % 3]]
         assert node.submit(submission_of(cluster, number, crew="nobody")).status == 422
@@ -237,12 +237,12 @@
         if not number % 20:
             cluster.step()
     assert not any(node.admission.gate.submitted().jobs for node in cluster.nodes.values())
-    assert records.ADMISSION not in cluster.state.rows
+    assert records.ADMISSION not in cluster.store.rows
 
 
 @pytest.mark.parametrize("unreadable", [None, {"v": 9}, "odd", encode(level(0.5), 4096) | {"v": 2}])
 def test_a_deleted_or_unreadable_level_admits_everything_and_is_replaced(
-    cluster: World, unreadable: object, caplog: pytest.LogCaptureFixture
+    cluster: Cluster, unreadable: object, caplog: pytest.LogCaptureFixture
 ) -> None:
     publish(cluster, encode(level(0.01), 4096))
     number = refused_number(level(0.01))
@@ -257,7 +257,7 @@
     assert stored_level(cluster).windows
 
 
-def test_a_level_is_not_in_force_beside_a_controller_without_admission(cluster: World) -> None:
+def test_a_level_is_not_in_force_beside_a_controller_without_admission(cluster: Cluster) -> None:
     """A controller restarts with a release without admission, then with admission again."""
     publish(cluster, encode(level(0.01), 4096))
     number = refused_number(level(0.01))
@@ -273,7 +273,7 @@
 def test_a_flood_of_one_team_does_not_affect_the_others_and_ends() -> None:
     """Nor the urgent class and a team without a guarantee; in the end all is admitted again."""
     cluster = admission_cluster(machines=8)
-    cluster.state.write_rps = 10.0
+    cluster.store.write_rps = 10.0
     others = {"crew": "blue"}
     answers, of_other_team, urgent = [], [], []
     for round_number in range(12):
@@ -300,7 +300,7 @@
     assert leader.commit_loop.writes.rate == pytest.approx(7.0)
     assert len(set(numbers[30:])) == 1, "no oscillation"
     assert submit(cluster, "n1", 9999).status == 201
-    history = [Row(row.key, row.value, row.version) for row in cluster.state.log]
+    history = [Row(row.key, row.value, row.version) for row in cluster.store.changes]
     flows = {answer.job_id: SWEEP for answer in answers}
     assert against_level(history, flows) == []
     assert refused_wrongly(history, answers, flows) == []
@@ -308,7 +308,7 @@
 
 def test_completions_of_urgent_jobs_are_recorded_before_those_of_others() -> None:
     cluster = admission_cluster(machines=2)
-    leader = leader_name(cluster)
+    leader = cluster.require_leader()
     scheduler = cluster.nodes[leader].scheduler
     for number in range(1, 5):
         assert submit(cluster, leader, number).status == 201
@@ -329,7 +329,7 @@
     assert len(batch.over) == 1
 
 
-def test_accepted_jobs_are_noted_while_the_leader_computes_a_level(cluster: World) -> None:
+def test_accepted_jobs_are_noted_while_the_leader_computes_a_level(cluster: Cluster) -> None:
     """The leader's state is locked when it notes an accepted job: no deadlock with the step."""
     node = leader_of(cluster)
     control, task_log = node.admission.control, TaskLogFacts(0, 0.0)
@@ -357,27 +357,27 @@
 
 def test_a_backlog_counts_only_while_the_cloud_has_no_more_machines() -> None:
     cluster = admission_cluster(machines=2)
-    leader = leader_name(cluster)
+    leader = cluster.require_leader()
     scheduler = cluster.nodes[leader].scheduler
     cluster.submit(leader, cluster.job(1, parts=50, guess_s=100.0, crew="open"))
     cluster.step()
     assert scheduler.workload_facts().backlog_s == {}, "the fleet may still grow"
-    cluster.capacity = 0
+    cluster.cloud.capacity = 0
     for _ in range(4):
-        cluster.fleet(leader)
+        cluster.cloud_step(leader)
         cluster.step()
     facts = scheduler.workload_facts()
     assert facts.backlog_s[1] == pytest.approx(50 * 100.0 / 8.0, rel=0.2)
     assert facts.over_guarantee == {"open"}, "50 CPUs of open work, none guaranteed"
     cluster.machine(spot=False)
     cluster.machine(spot=False)
-    cluster.capacity = 10
+    cluster.cloud.capacity = 10
     cluster.pass_time(30.0)
-    cluster.fleet(leader)
+    cluster.cloud_step(leader)
     assert scheduler.workload_facts().backlog_s == {}, "machines are launched again"
 
 
-def test_a_new_leader_continues_the_level_during_a_flood(cluster: World) -> None:
+def test_a_new_leader_continues_the_level_during_a_flood(cluster: Cluster) -> None:
     answers = flood(cluster, 8, 1)
     before = stored_level(cluster)
     leader = cluster.leader()
@@ -392,7 +392,7 @@
     assert after.since == before.since
     cluster.boot(leader)
     answers += flood(cluster, 8, 2000)
-    history = [Row(row.key, row.value, row.version) for row in cluster.state.log]
+    history = [Row(row.key, row.value, row.version) for row in cluster.store.changes]
     flows = {answer.job_id: SWEEP for answer in answers}
     assert against_level(history, flows) == []
     assert refused_wrongly(history, answers, flows) == []
@@ -409,7 +409,7 @@
 
     @rule(share=st.sampled_from([0.05, 0.3, 0.7]), start=st.integers(0, POSITIONS - 1))
     def publish(self, share: float, start: int) -> None:
-        row = self.cluster.state.rows.get(records.ADMISSION)
+        row = self.cluster.store.rows.get(records.ADMISSION)
         number = 1 if row is None else row[0]["number"] + 1
         publish(self.cluster, encode(level(share, number, start), 4096))
 
@@ -417,26 +417,28 @@
     def submit(self, node: str, number: int) -> None:
         self.answers.append(submit(self.cluster, node, number))
 
-    @rule(node=st.sampled_from(NODES), fault=st.sampled_from(["lose_answer", "hold"]))
+    @rule(
+        node=st.sampled_from(NODES), fault=st.sampled_from(["loses_next_response_to", "delays_next_write_of"])
+    )
     def lose(self, node: str, fault: str) -> None:
-        getattr(self.cluster.state, fault).add(node)
+        getattr(self.cluster.store, fault).add(node)
 
     @rule(node=st.sampled_from(NODES), cut=st.booleans())
     def cut(self, node: str, cut: bool) -> None:
-        (self.cluster.state.refuses.add if cut else self.cluster.state.refuses.discard)(node)
+        (self.cluster.store.unavailable_to.add if cut else self.cluster.store.unavailable_to.discard)(node)
 
     @rule()
     def carry_out_late(self) -> None:
-        self.cluster.state.release()
+        self.cluster.store.execute_delayed_writes()
 
     @rule(node=st.sampled_from(NODES), knows=st.booleans())
     def restart(self, node: str, knows: bool) -> None:
         self.cluster.boot(node, ADMISSION_ON if knows else Policy(hold_s=0.0, hold_idle_s=0.0))
 
-    @precondition(lambda self: records.ADMISSION in self.cluster.state.rows)
+    @precondition(lambda self: records.ADMISSION in self.cluster.store.rows)
     @rule()
     def delete_level(self) -> None:
-        self.cluster.state.execute({}, [Put(records.ADMISSION, None)])
+        self.cluster.store.execute({}, [Put(records.ADMISSION, None)])
 
     @rule()
     def go_on(self) -> None:
@@ -445,8 +447,8 @@
     @invariant()
     def no_acceptance_violates_its_level(self) -> None:
         flows = {f"req-{n:06d}": SWEEP for n in range(1, 7)}
-        assert against_level(self.cluster.state.log, flows) == []
-        assert refused_wrongly(self.cluster.state.log, self.answers, flows) == []
+        assert against_level(self.cluster.store.changes, flows) == []
+        assert refused_wrongly(self.cluster.store.changes, self.answers, flows) == []
 
 
 AdmissionUnderFaults.TestCase.settings = settings(
--- a/tests/test_launch_planning.py
+++ b/tests/test_launch_planning.py
@@ -3,13 +3,13 @@
 import dataclasses
 from collections.abc import Sequence
 
-from world import World
+from fakes.cluster import Cluster
 
 from bayford.scheduling import scaling
 
 
 def test_launch_plans_prefer_spot_and_take_on_demand_machines_only_where_needed() -> None:
-    types = World(1).catalog()
+    types = Cluster(1).cloud.catalog()
     spot, on_demand = scaling.MachinePool(0, 0, True), scaling.MachinePool(0, 0, False)
     demand = scaling.Demand(
         pools=frozenset({spot, on_demand}),
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -10,7 +10,7 @@
 from standins.site import KIND, Site, await_state, job
 from standins.workers import Event
 
-ALL_PARTS = (Path(__file__).parent.parent / "deploy" / "all-parts.star").read_text()
+ALL_FEATURES = (Path(__file__).parent.parent / "deploy" / "all-parts.star").read_text()
 KEEP_IDLE = "\nkeep_idle_s = 1e6\nsurplus_idle_s = 1e6\ndear_idle_s = 1e6\n"  # however slow this machine is
 MACHINES = 20
 JOBS = 10
@@ -18,8 +18,8 @@
 IMAGES = ["img-0", "img-1", "img-2"]
 
 
-def test_a_burst_whose_images_lie_on_three_machines_is_spread_and_ends_once(tmp_path):
-    with Site(tmp_path, ALL_PARTS + KEEP_IDLE, MACHINES) as site:
+def test_a_burst_whose_images_lie_on_three_machines_is_spread_and_ends_once(tmp_path: Path) -> None:
+    with Site(tmp_path, ALL_FEATURES + KEEP_IDLE, MACHINES) as site:
         for n in range(MACHINES):
             images = (IMAGES[n],) if n < len(IMAGES) else ()
             site.fleet.launch(KIND, "north" if n % 2 else "south", True, images)
@@ -47,7 +47,7 @@
         leader = site.leader()
         assert leader is not None
         site.controllers.kill(leader)
-        await_state(lambda: site.leader() not in (None, leader), "another owner")
+        await_state(lambda: site.leader() not in (None, leader), "another leader")
         site.start(leader)
         for name in names:
             site.fleet.run_s[name] = 0.0
@@ -78,14 +78,16 @@
         ([A, A_DONE, LATER], [], [], ["req-2"]),  # the first never came back there
     ],
 )
-def test_the_checks_of_histories_find_what_is_wrong(history, twice, not_once, order):
+def test_the_checks_of_histories_find_what_is_wrong(
+    history: list[Event], twice: list[str], not_once: list[str], order: list[str]
+) -> None:
     assert ran_twice(history) == twice
     assert not_done_once(history, ["req-1/0"]) == not_once
     assert out_of_order(history, ["vm-2"], ["req-1", "req-2"]) == order
 
 
 @pytest.mark.parametrize(
-    ("told", "wrong"),
+    ("phases", "wrong"),
     [
         ({"n0": "done", "n1": "done"}, []),
         ({"n0": "done", "n1": "running"}, ["req-1"]),
@@ -94,8 +96,8 @@
         ({}, ["req-1"]),
     ],
 )
-def test_the_check_of_answers_finds_what_is_wrong(told, wrong):
-    assert without_one_answer({"req-1": told}, "done") == wrong
+def test_the_check_of_answers_finds_what_is_wrong(phases: dict[str, str | None], wrong: list[str]) -> None:
+    assert without_one_answer({"req-1": phases}, "done") == wrong
 
 
 RECOVER = (
@@ -103,7 +105,7 @@
 )
 
 
-def test_a_zone_that_is_cut_away_flaps_and_returns_has_one_answer_for_each_job(tmp_path):
+def test_a_zone_that_is_cut_away_flaps_and_returns_has_one_answer_for_each_job(tmp_path: Path) -> None:
     """Its leader ends meanwhile; jobs bound to the zone come back in the stated order."""
     with Site(tmp_path, RECOVER + KEEP_IDLE, 12, lease_s=6.0) as site:
         for n in range(12):
@@ -119,33 +121,33 @@
         site.submit(job(0, "img-0", 48, "mirror-trickle"), run_s=math.inf)
         await_state(lambda: sum(site.fleet.loads().values()) == 6.0, "all tasks are there")
         site.fleet.cut_zone("south", away=True)
-        await_state(lambda: state() == "lost", "the loss is told")
+        await_state(lambda: state() == "lost", "the loss is recorded")
         bound = {"yard": "south", "rank": "normal"}
         for number, name in ((1, "mirror-trickle"), (2, "rebuild-sweep"), (3, "hot-builds")):
             site.submit(job(number, f"img-{number}", 6, name, **bound), run_s=math.inf)
         leader = site.leader()
         assert leader is not None
         site.controllers.kill(leader)
-        await_state(lambda: site.leader() not in (None, leader), "another owner")
+        await_state(lambda: site.leader() not in (None, leader), "another leader")
         site.start(leader)
         for away in (False, True, False):  # it flaps
             site.fleet.cut_zone("south", away)
         names = [f"req-{n:06d}" for n in range(4)]
-        parts = [f"{names[0]}/{n}" for n in range(48)]
-        parts += [f"{name}/{n}" for name in names[1:] for n in range(6)]
+        tasks = [f"{names[0]}/{n}" for n in range(48)]
+        tasks += [f"{name}/{n}" for name in names[1:] for n in range(6)]
 
         def running() -> set[str]:
             workers = list(site.fleet.workers.values())
             return {a.task_id for w in workers for a in list(w.tasks.values()) if a.phase == "running"}
 
-        await_state(lambda: running() == set(parts), "everything runs again")
+        await_state(lambda: running() == set(tasks), "everything runs again")
         await_state(lambda: state() == "up", "the zone is up")
         assert out_of_order(site.fleet.history, south(), [names[3], names[2], names[1]]) == []
         for name in names:
             site.fleet.run_s[name] = 0.0
         await_state(lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "the end")
         history = list(site.fleet.history)
-        assert ran_twice(history) == [] and not_done_once(history, parts) == []
+        assert ran_twice(history) == [] and not_done_once(history, tasks) == []
         assert without_one_answer({name: site.phases(name) for name in names}, "done") == []
         status, body = site.controllers.ask("n0", "POST", "/api/jobs", job(0, "img-0", 48, "mirror-trickle"))
         assert (status, body["phase"]) == (200, "done")
--- a/tests/test_random_concurrent_faults.py
+++ b/tests/test_random_concurrent_faults.py
@@ -4,19 +4,19 @@
 
 import pytest
 from cluster_helpers import clear_faults, kill_controller, recover_and_check
-from test_stories import running, wait
-from world import World
+from fakes.cluster import Cluster
+from fakes.scenarios import run_for, running_tasks
 
 from bayford.scheduling.policy import Policy
 
 # Drawn from by position: the order is part of what a seed stands for.
 STORE_FAULTS = ("refused", "outage", "gap", "unanswered", "lagging", "blind")
 CONTROLLER_FAULTS = ("isolated", "peers", "ends", "all end", "frozen")
-WORKER_FAULTS = ("cut", "copies", "slow", "deaf", "mute", "hung")
+WORKER_FAULTS = ("cut", "copies", "slow", "unresponsive", "cannot_send", "hung")
 FAULTS = STORE_FAULTS + CONTROLLER_FAULTS + WORKER_FAULTS
 
 
-def begin_fault(cluster: World, fault: str) -> None:
+def begin_fault(cluster: Cluster, fault: str) -> None:
     """Begin one fault, on machines and controllers drawn by the cluster's seed."""
     rng = cluster.rng
     node = rng.choice(sorted(cluster.nodes))
@@ -30,36 +30,36 @@
         begin_worker_fault(cluster, fault, leader, affected)
 
 
-def begin_store_fault(cluster: World, fault: str, leader: str, node: str) -> None:
+def begin_store_fault(cluster: Cluster, fault: str, leader: str, node: str) -> None:
     """The key-value store fails for the leader, for `node`, or for all."""
     rng = cluster.rng
     if fault == "refused":
-        cluster.state.refuses.add(leader)
+        cluster.store.unavailable_to.add(leader)
     elif fault == "outage":
-        cluster.state.down = True
+        cluster.store.down = True
     elif fault == "gap":
         names = sorted(cluster.nodes)
-        cluster.state.refuses.add(leader)
-        wait(cluster, rng.choice([0.5, 1.5, 2.5]))
+        cluster.store.unavailable_to.add(leader)
+        run_for(cluster, rng.choice([0.5, 1.5, 2.5]))
         for job_id in sorted(cluster.accepted)[-3:]:
             cluster.cancel(rng.choice([n for n in names if n != leader] or names), job_id)
-        cluster.state.down = True
+        cluster.store.down = True
     elif fault == "unanswered":
-        cluster.state.unanswered.add(rng.choice([leader, node]))
+        cluster.store.loses_responses_to.add(rng.choice([leader, node]))
     elif fault == "lagging":
-        cluster.state.lagging[rng.choice([leader, node])] = rng.uniform(2.0, 12.0)
+        cluster.store.write_delay_s[rng.choice([leader, node])] = rng.uniform(2.0, 12.0)
     else:
-        cluster.state.blind.add(leader)
+        cluster.store.reads_unanswered_for.add(leader)
 
 
-def begin_controller_fault(cluster: World, fault: str, leader: str, node: str) -> None:
+def begin_controller_fault(cluster: Cluster, fault: str, leader: str, node: str) -> None:
     """A controller is isolated, ends or stands still."""
     rng = cluster.rng
     if fault == "isolated":
-        cluster.state.lost.add(leader)
-        cluster.mesh_cut.add(leader)
+        cluster.store.unreachable_from.add(leader)
+        cluster.mesh_cuts.add(leader)
     elif fault == "peers":
-        cluster.mesh_cut.add(node)
+        cluster.mesh_cuts.add(node)
     elif fault == "ends":
         kill_controller(cluster, leader)
         if rng.random() < 0.5 or not cluster.nodes:
@@ -70,23 +70,23 @@
         cluster.pass_time(rng.choice([0.0, 1.0, 16.0]))
         cluster.boot(node)
     else:
-        cluster.frozen.add(leader)
+        cluster.paused.add(leader)
 
 
-def begin_worker_fault(cluster: World, fault: str, leader: str, affected: list[str]) -> None:
+def begin_worker_fault(cluster: Cluster, fault: str, leader: str, affected: list[str]) -> None:
     """Heartbeats are lost, late or repeated, or the affected workers fail."""
     rng = cluster.rng
     if fault == "cut":
-        cluster.cut |= {
+        cluster.network_cuts |= {
             (name, other)
             for name in affected
             for other in (cluster.names if rng.random() < 0.5 else [leader])
         }
     elif fault == "copies":
-        for heartbeat in rng.sample(cluster.sent, min(20, len(cluster.sent))):
+        for heartbeat in rng.sample(cluster.sent_heartbeats, min(20, len(cluster.sent_heartbeats))):
             cluster.replay(heartbeat, rng.choice(sorted(cluster.nodes)))
     elif fault == "slow":
-        cluster.slow_s = rng.uniform(0.5, 3.5)
+        cluster.response_delay_s = rng.uniform(0.5, 3.5)
     else:
         for name in affected:
             setattr(cluster.workers[name], fault, True)
@@ -110,10 +110,10 @@
     ("seed", "policy"), [(s, None) for s in range(24)] + [(s, EAGER_MIGRATION) for s in range(24, 24 + 12)]
 )
 def test_random_concurrent_faults(seed: int, policy: Policy | None) -> None:
-    cluster = World(3, seed=seed, policy=policy)
+    cluster = Cluster(3, seed=seed, policy=policy)
     for n in range(5):
         cluster.machine(zone="north" if n % 2 else "south", spot=n % 3 > 0)
-    wait(cluster, 2.0)
+    run_for(cluster, 2.0)
     rng = cluster.rng
     number = 0
     fields: dict[int, dict[str, Any]] = {}
@@ -138,10 +138,10 @@
                 cluster.cancel(rng.choice(sorted(cluster.nodes)), rng.choice(known))
             if known and rng.random() < 0.4:
                 asked = int(rng.choice(known)[4:])
-                cluster.look(asked, **fields[asked])
-            for task_id in running(cluster):
+                cluster.query_everywhere(asked, **fields[asked])
+            for task_id in running_tasks(cluster):
                 if rng.random() < 0.05:
                     cluster.finish(task_id)
-            wait(cluster, rng.choice([0.5, 1.0, 2.0]))
+            run_for(cluster, rng.choice([0.5, 1.0, 2.0]))
         clear_faults(cluster)
     recover_and_check(cluster, 200.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,8 @@
 import time
 
 import orjson
-from world import Attempt, World
+from fakes.cluster import Cluster
+from fakes.worker import Attempt
 
 from bayford.config import Settings
 from bayford.coordination.leader.cloud_operations import LEADER_SHARE, LIST_SHARE, CloudOperations
@@ -35,32 +36,32 @@
 HEARTBEAT_STEPS = 4  # a worker sends a heartbeat every two seconds, as the settings say
 
 
-def pass_scaled(cluster: World, seconds: float, until_running: int | None = None) -> None:
+def pass_scaled(cluster: Cluster, seconds: float, until_running: int | None = None) -> None:
     """Advance the clock; a quarter of the workers sends heartbeats in each half second, each every 2 s."""
     for step in range(int(seconds / STEP_S)):
         cluster.pass_time(STEP_S)
         for n, worker in enumerate(list(cluster.workers.values())):
             if n % HEARTBEAT_STEPS == step % HEARTBEAT_STEPS:
-                cluster.wander(worker)
+                cluster.heartbeat_to_any(worker)
         for name in list(cluster.nodes):
-            cluster.step_node(name)
+            cluster.step_controller(name)
         if step % HEARTBEAT_STEPS == 0:
             for name in list(cluster.nodes):
-                cluster.fleet(name)
+                cluster.cloud_step(name)
             cluster.check()
         if until_running is not None and running_count(cluster) >= until_running:
             return
 
 
-def running_count(cluster: World) -> int:
+def running_count(cluster: Cluster) -> int:
     """How many tasks run."""
     return sum(len(worker.running()) for worker in cluster.workers.values())
 
 
 def test_4000_machines_start_get_a_new_leader_and_lose_500() -> None:
-    cluster = World(nodes=3, value_kb=8.0)
+    cluster = Cluster(nodes=3, value_kb=8.0)
     cluster.pause_s = 0.0005  # 4,000 heartbeats wait for a read each, and their times add up here
-    cluster.capacity = 0  # no more machines than these, but replacements of deleted ones
+    cluster.cloud.capacity = 0  # no more machines than these, but replacements of deleted ones
     for n in range(MACHINES):
         cluster.machine(zone="north" if n % 2 else "south")
     tasks = MACHINES * CPUS
@@ -80,14 +81,14 @@
     second = cluster.leader()
     assert second not in (None, first)
     assert {worker.name: sorted(worker.running()) for worker in cluster.workers.values()} == before
-    assert cluster.deleted == [], "a failover deletes no machine"
+    assert cluster.cloud.deleted == [], "a failover deletes no machine"
 
     lost = list(cluster.workers.values())[:: MACHINES // LOST]
     assert len(lost) == LOST
     for worker in lost:
         worker.hung = True
     pass_scaled(cluster, 30.0)
-    assert set(cluster.deleted) == {worker.name for worker in lost}
+    assert set(cluster.cloud.deleted) == {worker.name for worker in lost}
     pass_scaled(cluster, 40.0, until_running=tasks)
     task_ids = collections.Counter(
         task_id for worker in cluster.workers.values() for task_id in worker.running()
@@ -162,7 +163,7 @@
 def test_listing_4000_machines_keeps_to_the_rate_and_leaves_some_for_launches() -> None:
     """All pages at once exceeded the cloud's burst, so that the list was never complete."""
     cloud = PacedCloud(rps=3.0, count=MACHINES)
-    scheduler, operations = leader_with_cloud(cloud, World().settings("n0"))
+    scheduler, operations = leader_with_cloud(cloud, Cluster().settings("n0"))
     request = LaunchRequest("small", "north", True, 50, "backlog")
     lists = 0
     while cloud.now < 60.0:
@@ -185,7 +186,7 @@
 
 def test_more_launches_than_the_queue_holds_do_not_delay_deletions() -> None:
     cloud = PacedCloud(rps=3.0, count=0)
-    scheduler, operations = leader_with_cloud(cloud, World().settings("n0"))
+    scheduler, operations = leader_with_cloud(cloud, Cluster().settings("n0"))
     requests = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
     for request in requests:
         scheduler.autoscaler._add_launching(scheduler.autoscaler._pool(request), request.count)
@@ -196,7 +197,7 @@
 
 
 def test_a_relay_recognizes_repeated_heartbeats_of_4000_machines() -> None:
-    cluster = World(nodes=2)
+    cluster = Cluster(nodes=2)
     relay = cluster.nodes["n1"].relay
     heartbeats = [cluster.machine().heartbeat() for _ in range(MACHINES + 500)]
     assert not any(relay.stale(heartbeat) for heartbeat in heartbeats)
@@ -205,9 +206,9 @@
 
 def test_a_relay_of_4000_machines_keeps_to_the_rate_and_passes_each_machine_on() -> None:
     """All values at once were refused repeatedly, and the pause for so many exceeded a lease."""
-    cluster = World(nodes=2, value_kb=4.0, writes=15.0)
+    cluster = Cluster(nodes=2, value_kb=4.0, writes=15.0)
     relaying = cluster.nodes["n1"]
-    cluster.state.write_rps = 15.0
+    cluster.store.write_rps = 15.0
     cluster.pass_time(2.0)
     fleet = [cluster.machine() for _ in range(MACHINES)]
     last_heartbeat_at: dict[str, list[float]] = {worker.name: [] for worker in fleet}
@@ -224,14 +225,14 @@
             }
             relaying.relay.note(worker.heartbeat())
         fleet = fleet[1:] + fleet[:1]
-        cluster.try_(relaying.relay_publisher.publish)
-        for key, (value, version, _) in cluster.state.rows.items():
+        cluster.try_step(relaying.relay_publisher.publish)
+        for key, (value, version, _) in cluster.store.rows.items():
             if key.startswith(records.RELAYS) and seen.get(key) != version:
                 seen[key] = version
                 for heartbeat in heartbeats_in(Row(key, value, version), cluster.clock.wall())[1]:
                     last_heartbeat_at[heartbeat.machine].append(cluster.clock.now)
-    assert cluster.state.too_many == 0
-    assert len(seen) > 2 * cluster.state.write_rps, "more values than may be written in two seconds"
+    assert cluster.store.rate_limited_count == 0
+    assert len(seen) > 2 * cluster.store.write_rps, "more values than may be written in two seconds"
     end = cluster.clock.now
     gaps = [
         max(later - before for before, later in itertools.pairwise([*times, end]))
@@ -241,7 +242,7 @@
 
 
 def test_preemption_in_a_large_fleet_covers_it_and_stops_tasks_in_proportion() -> None:
-    cluster = World(value_kb=8.0)
+    cluster = Cluster(value_kb=8.0)
     cluster.pause_s = 0.0005
     node = cluster.nodes["n0"]
     scheduler = node.scheduler
@@ -329,7 +330,7 @@
 def test_more_workers_than_connections_are_all_answered_in_turn() -> None:
     """Workers kept their connections: the last ones were refused until a lease expired."""
     max_connections, clients = 8, 40
-    cluster = World()
+    cluster = Cluster()
     cluster.step()
     handler = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
     server = HttpServer("127.0.0.1", 0, handler.handle, max_connections, "front")
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 import pytest
+from fakes.cluster import LIMITS, Cluster
+from fakes.scenarios import run_for, running_tasks, started_cluster
 from hypothesis import given
 from hypothesis import strategies as st
 from test_capacity_index import CPUS, indexed, jobs, machines, make_job
-from test_stories import quiet, running, wait
-from world import LIMITS, World
 
 from bayford.scheduling import placement_rules, tempered
 from bayford.scheduling.model import Job, Machine, MachineType, Placement
@@ -265,12 +265,12 @@
 # -- the leader's migrations
 
 
-def unbalanced_cluster(tasks: int = 4, nodes: int = 1, **job: Any) -> World:
+def unbalanced_cluster(tasks: int = 4, nodes: int = 1, **job: Any) -> Cluster:
     """Four machines, one of which runs all tasks of job 1, and a leader that spreads load."""
-    cluster = quiet(machines=4, nodes=nodes, policy=PACKED)
+    cluster = started_cluster(machines=4, nodes=nodes, policy=PACKED)
     fields = {"crew": "open", "parts": tasks, "bookmark_s": 5.0, "stash_s": 1.0, "guess_s": 900.0} | job
     cluster.submit("n0", cluster.job(1, **fields))
-    wait(cluster, 4.0, fleet=False)
+    run_for(cluster, 4.0, cloud=False)
     assert sorted(len(worker.running()) for worker in cluster.workers.values()) == [0, 0, 0, tasks]
     cluster.policy = SPREAD
     for node in cluster.nodes.values():
@@ -278,24 +278,24 @@
     return cluster
 
 
-def task_counts(cluster: World) -> list[int]:
+def task_counts(cluster: Cluster) -> list[int]:
     """The number of tasks on each machine, in ascending order."""
     return sorted(len(worker.running()) for worker in cluster.workers.values())
 
 
-def restarts(cluster: World) -> dict[str, int]:
+def restarts(cluster: Cluster) -> dict[str, int]:
     """How often each task was started again."""
-    return {task_id: len(workers) - 1 for task_id, workers in cluster.starters.items()}
+    return {task_id: len(workers) - 1 for task_id, workers in cluster.started_on.items()}
 
 
 def test_running_tasks_leave_an_overloaded_machine_and_migrate_at_most_once() -> None:
     cluster = unbalanced_cluster()
-    wait(cluster, 120.0, fleet=False)
+    run_for(cluster, 120.0, cloud=False)
     assert task_counts(cluster)[-1] <= 2, "at most twice the average"
-    assert len(running(cluster)) == 4
+    assert len(running_tasks(cluster)) == 4
     assert max(restarts(cluster).values()) == 1
     assert sum(restarts(cluster).values()) <= 3
-    stored = cluster.state.rows[records.migration_counts_key("req-000001")][0]
+    stored = cluster.store.rows[records.migration_counts_key("req-000001")][0]
     assert sum(count for _, count in stored["t"]) == sum(restarts(cluster).values())
 
 
@@ -309,14 +309,14 @@
 def test_tasks_without_checkpoints_or_near_their_end_are_not_migrated(job: dict[str, Any]) -> None:
     cluster = unbalanced_cluster(**job)
     before = {worker.name: worker.running() for worker in cluster.workers.values()}
-    wait(cluster, 60.0, fleet=False)
+    run_for(cluster, 60.0, cloud=False)
     assert {worker.name: worker.running() for worker in cluster.workers.values()} == before
 
 
 def test_tasks_of_a_lossy_class_are_migrated_without_checkpoints() -> None:
     cluster = unbalanced_cluster(bookmark_s=0.0, guess_s=9000.0)
     cluster.nodes["n0"].scheduler.state.policy = dataclasses.replace(SPREAD, spread_lossy=("sweep",))
-    wait(cluster, 60.0, fleet=False)
+    run_for(cluster, 60.0, cloud=False)
     assert task_counts(cluster)[-1] <= 2
 
 
@@ -324,7 +324,7 @@
     cluster = unbalanced_cluster()
     cluster.policy = dataclasses.replace(SPREAD, spread_restarts={"sweep": 0})
     cluster.boot("n0")
-    wait(cluster, 60.0, fleet=False)
+    run_for(cluster, 60.0, cloud=False)
     assert task_counts(cluster) == [0, 0, 0, 4]
 
 
@@ -332,9 +332,9 @@
     cluster = unbalanced_cluster(nodes=3)
     with caplog.at_level("INFO", logger="bayford.coordination.leader.load_spreader"):
         for _ in range(8):
-            wait(cluster, 40.0, fleet=False)
+            run_for(cluster, 40.0, cloud=False)
             cluster.boot(cluster.leader() or "n0")
-            wait(cluster, 8.0, fleet=False)
+            run_for(cluster, 8.0, cloud=False)
             # Tasks of all machines but one are lost and placed on that one again: always a reason to migrate.
             scheduler = cluster.nodes[cluster.leader() or "n0"].scheduler
             scheduler.state.policy = PACKED
@@ -342,13 +342,13 @@
             for worker in others:
                 worker.tasks.clear()
                 worker.epoch += 1
-            wait(cluster, 4.0, fleet=False)
+            run_for(cluster, 4.0, cloud=False)
             scheduler.state.policy = SPREAD
     migrated = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("migrating: ")]
     assert migrated and len(set(migrated)) == len(migrated), "each task once, across all leaders"
 
 
-def decide_migration(cluster: World) -> Placement:
+def decide_migration(cluster: Cluster) -> Placement:
     """Advance until a migration is decided and not yet written; the placement that it concerns."""
     scheduler = cluster.nodes["n0"].scheduler
     for _ in range(120):
@@ -361,7 +361,7 @@
     pytest.fail("no migration was decided")
 
 
-def overtake(cluster: World, event: str, placement: Placement, target: int) -> None:
+def overtake(cluster: Cluster, event: str, placement: Placement, target: int) -> None:
     """Let an event happen to a task while it migrates to `target`."""
     node = cluster.nodes["n0"]
     if event == "done":
@@ -371,7 +371,7 @@
     elif event == "cancelled":
         assert cluster.cancel("n0", "req-000001") == "aborted"
     elif event == "target":
-        cluster.execute_delete([node.scheduler.state.machine_names[target]])
+        cluster.cloud.execute_delete([node.scheduler.state.machine_names[target]])
         node.scheduler.deleted([node.scheduler.state.machine_names[target]])
     else:
         cluster.boot("n0")
@@ -400,26 +400,26 @@
             before[1] - {placement},
         )
         assert placement.stop_grace_s == 0.0
-    wait(cluster, 60.0)
+    run_for(cluster, 60.0)
     assert not cluster.nodes["n0"].scheduler.state.stopping
     if event == "cancelled":
-        assert running(cluster) == []
+        assert running_tasks(cluster) == []
         return
     remaining = {f"req-000001/{n}" for n in range(4)} - cluster.done_tasks
-    assert set(running(cluster)) == remaining
-    assert len(running(cluster)) == len(remaining)
+    assert set(running_tasks(cluster)) == remaining
+    assert len(running_tasks(cluster)) == len(remaining)
     assert restarts(cluster)[placement.task_id] <= 1
     if event == "done":
         for task_id in remaining:
             cluster.finish(task_id)
-        wait(cluster, 10.0, fleet=False)
+        run_for(cluster, 10.0, cloud=False)
         assert cluster.query("n0", "req-000001") == "done"
 
 
 def test_no_migration_while_a_task_waits_for_capacity() -> None:
     cluster = unbalanced_cluster()
     cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
-    wait(cluster, 40.0, fleet=False)
+    run_for(cluster, 40.0, cloud=False)
     assert cluster.nodes["n0"].scheduler.state.moves == 0
     assert cluster.nodes["n0"].scheduler.state.jobs["req-000002"].waiting == [0]
 
@@ -430,7 +430,7 @@
     scheduler = cluster.nodes["n0"].scheduler
     scheduler.state.policy = PACKED
     cluster.submit("n0", cluster.job(2, crew="open", bookmark_s=5.0, stash_s=1.0, guess_s=900.0))
-    wait(cluster, 4.0, fleet=False)
+    run_for(cluster, 4.0, cloud=False)
     scheduler.state.policy = SPREAD
     source = max(scheduler.state.machines.values(), key=lambda machine: len(machine.open))
     target = next(machine for machine in scheduler.state.machines.values() if not machine.open)
@@ -445,23 +445,23 @@
 
 
 def test_no_team_limit_is_exceeded_with_load_spread() -> None:
-    cluster = quiet(machines=6, policy=SPREAD)
+    cluster = started_cluster(machines=6, policy=SPREAD)
     for number in range(4):
         cluster.submit("n0", cluster.job(number, parts=6))
-    wait(cluster, 10.0, fleet=False)
-    assert len(running(cluster)) == LIMITS["red"]
+    run_for(cluster, 10.0, cloud=False)
+    assert len(running_tasks(cluster)) == LIMITS["red"]
 
 
 def test_restart_counts_of_ended_jobs_are_deleted() -> None:
     cluster = unbalanced_cluster()
     decide_migration(cluster)
-    wait(cluster, 10.0, fleet=False)
-    assert records.migration_counts_key("req-000001") in cluster.state.rows
+    run_for(cluster, 10.0, cloud=False)
+    assert records.migration_counts_key("req-000001") in cluster.store.rows
     cluster.cancel("n0", "req-000001")
-    wait(cluster, 5.0, fleet=False)
+    run_for(cluster, 5.0, cloud=False)
     cluster.submit("n0", cluster.job(2, crew="open"))  # a change with which the counts are deleted
-    wait(cluster, 5.0, fleet=False)
-    assert records.migration_counts_key("req-000001") not in cluster.state.rows
+    run_for(cluster, 5.0, cloud=False)
+    assert records.migration_counts_key("req-000001") not in cluster.store.rows
 
 
 @pytest.mark.parametrize(
@@ -486,7 +486,7 @@
 
 def test_a_placement_hint_has_priority_over_machines_with_the_image() -> None:
     """The search of machines with the image dropped the hint: the task was placed where it had been."""
-    cluster = quiet(machines=4, policy=PACKED)
+    cluster = started_cluster(machines=4, policy=PACKED)
     scheduler = cluster.nodes["n0"].scheduler
     cluster.submit("n0", cluster.job(1, crew="open", parts=1))
     cluster.nodes["n0"].watch_cache.pull(0.0)
@@ -502,12 +502,12 @@
 def test_machines_with_late_heartbeats_are_no_migration_targets() -> None:
     cluster = unbalanced_cluster()
     for worker in list(cluster.workers.values()):
-        worker.mute = not worker.running()  # the idle machines send no heartbeats
+        worker.cannot_send = not worker.running()  # the idle machines send no heartbeats
     for _ in range(8):
         cluster.pass_time(1.0)
         for worker in cluster.workers.values():
             cluster.heartbeat(worker, "n0")
-        cluster.step_node("n0")
+        cluster.step_controller("n0")
     assert cluster.nodes["n0"].scheduler.state.moves == 0
 
 
@@ -518,7 +518,7 @@
     unlisted_machine = cluster.machine()
     unlisted_machine.kind = MachineType("odd", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north",))
     with caplog.at_level("ERROR", logger="bayford.coordination.leader.load_spreader"):
-        wait(cluster, 40.0, fleet=False)
+        run_for(cluster, 40.0, cloud=False)
     messages = [
         r for r in caplog.records if unlisted_machine.name in r.getMessage() and "catalog" in r.getMessage()
     ]
--- a/tests/test_submission_validation.py
+++ b/tests/test_submission_validation.py
@@ -4,12 +4,12 @@
 
 import orjson
 import pytest
-from world import World
+from fakes.cluster import Cluster
 
 from bayford.protocol import jobs
 from bayford.storage import records
 
-VALID_SUBMISSION = json.loads(World(1).job(1))
+VALID_SUBMISSION = json.loads(Cluster(1).job(1))
 NULLABLE = ("builds", "yard", "due_s")
 
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -4,7 +4,7 @@
 import threading
 
 import orjson
-from world import World
+from fakes.cluster import Cluster
 
 from bayford.clock import NEVER
 from bayford.protocol import workers
@@ -72,7 +72,7 @@
 
 def test_under_load_users_do_not_keep_connections_and_stale_ones_of_workers_close_soon() -> None:
     """Kept for 40 s, the connections from before a partition hindered a fleet that came back."""
-    cluster = World()
+    cluster = Cluster()
     handler = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
     server = HttpServer("127.0.0.1", 0, handler.handle, 4, "test")
     server.start()
--- a/tests/test_zone_records.py
+++ b/tests/test_zone_records.py
@@ -4,11 +4,11 @@
 from pathlib import Path
 
 import pytest
-from cluster_helpers import VALID_SETTINGS, leader_name
+from cluster_helpers import VALID_SETTINGS
+from fakes.cluster import Cluster
+from fakes.scenarios import run_for
 from hypothesis import given
 from hypothesis import strategies as st
-from test_stories import wait
-from world import World
 from zone_helpers import (
     RECOVERY_POLICY,
     recovery_cluster,
@@ -23,7 +23,7 @@
 
 
 def test_named_classes_return_first_and_others_by_priority() -> None:
-    cluster = World(policy=RECOVERY_POLICY)
+    cluster = Cluster(policy=RECOVERY_POLICY)
     for number, lane, rank in (
         (1, "trickle", "idle"),
         (2, "sweep", "normal"),
@@ -91,12 +91,12 @@
     with pytest.raises(zone_record.UnreadableRecordError):
         zone_record.decode(stored_value)
     cluster = recovery_cluster()
-    cluster.state._change([put_zone_record("north", stored_value or 0)])
-    cluster.boot(leader_name(cluster))
-    wait(cluster, 10.0, fleet=True)
+    cluster.store._change([put_zone_record("north", stored_value or 0)])
+    cluster.boot(cluster.require_leader())
+    run_for(cluster, 10.0, cloud=True)
     assert any("taken for absent" in record.getMessage() for record in caplog.records)
     cluster.submit("n0", cluster.job(9, crew="open"))
-    wait(cluster, 5.0)
+    run_for(cluster, 5.0)
     assert cluster.query("n0", "req-000009") == "running"
 
 
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -1,9 +1,9 @@
 """Loss and return of a zone in the simulated cluster."""
 
 import pytest
-from cluster_helpers import leader_name, leader_of
-from test_stories import running, wait
-from world import World
+from cluster_helpers import leader_of
+from fakes.cluster import Cluster
+from fakes.scenarios import run_for, running_tasks
 from zone_helpers import (
     RECOVERY_POLICY,
     cut_zone_off,
@@ -24,35 +24,35 @@
 
 
 @pytest.fixture(name="cluster")
-def _cluster() -> World:
+def _cluster() -> Cluster:
     return recovery_cluster()
 
 
-def test_a_lost_zone_gets_no_work_and_every_task_has_one_outcome(cluster: World) -> None:
+def test_a_lost_zone_gets_no_work_and_every_task_has_one_outcome(cluster: Cluster) -> None:
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
-    wait(cluster, 8.0)
+    run_for(cluster, 8.0)
     assert zone_state(cluster) == "suspect"
     cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
-    wait(cluster, 14.0)
+    run_for(cluster, 14.0)
     assert zone_state(cluster) == "lost"
     assert stored_zone_record(cluster).losses[-1].totals()["open"] == len(lost_tasks)
     assert leader_of(cluster).scheduler.state.jobs["req-000002"].waiting == [0], "nothing is placed there"
     reconnect_zones(cluster)
-    wait(cluster, 50.0)
+    run_for(cluster, 50.0)
     assert zone_state(cluster) == "up"
     loss = stored_zone_record(cluster).losses[-1]
     assert loss.returned > loss.lost > loss.suspected
     assert loss.totals() == {"open": 0, "finished": 0, "cancelled": 0, "over": 0, "again": len(lost_tasks)}
-    assert len(set(running(cluster))) == len(running(cluster))
+    assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
 
 
-def test_a_suspect_zone_gets_no_work_and_a_returning_one_only_on_verified_machines(cluster: World) -> None:
+def test_a_suspect_zone_gets_no_work_and_a_returning_one_only_on_verified_machines(cluster: Cluster) -> None:
     cut_zone_off(cluster)
-    wait(cluster, 7.0)
+    run_for(cluster, 7.0)
     assert zone_state(cluster) == "suspect"
     cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south"))
-    wait(cluster, 14.0)
+    run_for(cluster, 14.0)
     scheduler = leader_of(cluster).scheduler
     assert zone_state(cluster) == "lost"
     assert scheduler.state.jobs["req-000002"].open == {}, (
@@ -68,17 +68,17 @@
         scheduler.state.capacity_index.holds(machine, 77)
     reconnect_zones(cluster)
     while zone_state(cluster) == "lost":
-        wait(cluster, 0.5)
+        run_for(cluster, 0.5)
     assert not any(77 in machine.images for machine in south), "its image cache may be empty"
     assert zone_state(cluster) == "returning"
     assert not scheduler.state.verified_machines
     scheduler.round()
     assert scheduler.state.jobs["req-000002"].open == {}, "the partition may have delayed a single heartbeat"
-    wait(cluster, 6.0)
+    run_for(cluster, 6.0)
     assert len(running_in_zone(cluster)) == 2
 
 
-def test_only_a_few_machines_are_launched_into_a_zone_without_heartbeats(cluster: World) -> None:
+def test_only_a_few_machines_are_launched_into_a_zone_without_heartbeats(cluster: Cluster) -> None:
     scheduler = leader_of(cluster).scheduler
     scheduler.state.returning_zones = frozenset({zone_index(scheduler, "south")})
     machines_elsewhere = [
@@ -113,7 +113,7 @@
     assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [20, 20]
 
 
-def test_the_autoscaler_launches_only_a_few_machines_into_a_returning_zone(cluster: World) -> None:
+def test_the_autoscaler_launches_only_a_few_machines_into_a_returning_zone(cluster: Cluster) -> None:
     scheduler = leader_of(cluster).scheduler
     south = zone_index(scheduler, "south")
     scheduler.state.returning_zones = frozenset({south})
@@ -128,128 +128,128 @@
     ]
 
 
-def test_a_job_cancelled_during_the_partition_does_not_run_again(cluster: World) -> None:
+def test_a_job_cancelled_during_the_partition_does_not_run_again(cluster: Cluster) -> None:
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     assert cluster.cancel("n0", "req-000001") == "aborted"
-    wait(cluster, 30.0)  # the machines' epochs have ended, the silent ones are deleted
+    run_for(cluster, 30.0)  # the machines' epochs have ended, the silent ones are deleted
     reconnect_zones(cluster)
-    wait(cluster, 60.0)
-    assert running(cluster) == []
+    run_for(cluster, 60.0)
+    assert running_tasks(cluster) == []
     assert stored_zone_record(cluster).losses[-1].totals()["cancelled"] == len(lost_tasks)
 
 
 @pytest.mark.parametrize("when", ["before", "during", "after"])
-def test_a_task_that_ends_on_a_machine_that_was_declared_lost(cluster: World, when: str) -> None:
+def test_a_task_that_ends_on_a_machine_that_was_declared_lost(cluster: Cluster, when: str) -> None:
     """Its heartbeat arrives before the task is requeued, while it waits, or after another attempt's end."""
     lost_tasks = fill_with_one_job(cluster)
     task_id = lost_tasks[0]
     worker = next(worker for worker in cluster.workers.values() if task_id in worker.running())
     cut_zone_off(cluster)
-    wait(cluster, 8.0)
+    run_for(cluster, 8.0)
     worker.finish(task_id)
     cluster.done_tasks.add(task_id)
     late_heartbeat = worker.heartbeat()
-    wait(cluster, {"before": 4.0, "during": 34.0, "after": 34.0}[when])
+    run_for(cluster, {"before": 4.0, "during": 34.0, "after": 34.0}[when])
     if when == "after":
         reconnect_zones(cluster)
         for _ in range(4):  # capacity for what was lost
             cluster.machine(zone="north")
-        wait(cluster, 30.0)
+        run_for(cluster, 30.0)
         cluster.finish(task_id)
-        wait(cluster, 4.0)
-    cluster.replay(late_heartbeat, leader_name(cluster))
-    wait(cluster, 4.0)
+        run_for(cluster, 4.0)
+    cluster.replay(late_heartbeat, cluster.require_leader())
+    run_for(cluster, 4.0)
     reconnect_zones(cluster)
-    wait(cluster, 40.0)
+    run_for(cluster, 40.0)
     leader = leader_of(cluster).scheduler
     if when == "during":
-        assert worker.name in cluster.deleted, (
+        assert worker.name in cluster.cloud.deleted, (
             "its machine is deleted by then, and its heartbeat has no effect"
         )
     job = leader.state.jobs["req-000001"]
     task = int(task_id.split("/")[1])
     assert task not in job.open or task not in job.done
-    assert len(set(running(cluster))) == len(running(cluster))
+    assert len(set(running_tasks(cluster))) == len(running_tasks(cluster))
 
 
-def test_late_copies_of_heartbeats_after_the_return_change_nothing(cluster: World) -> None:
+def test_late_copies_of_heartbeats_after_the_return_change_nothing(cluster: Cluster) -> None:
     fill_with_one_job(cluster)
     copies = [worker.heartbeat() for worker in cluster.workers.values()]
     cut_zone_off(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     reconnect_zones(cluster)
-    wait(cluster, 6.0)
-    before = running(cluster), zone_state(cluster)
+    run_for(cluster, 6.0)
+    before = running_tasks(cluster), zone_state(cluster)
     for copy in copies:
-        cluster.replay(copy, leader_name(cluster))
+        cluster.replay(copy, cluster.require_leader())
     scheduler = leader_of(cluster).scheduler
     scheduler.round()
-    assert (running(cluster), zone_state(cluster)) == before
-    assert len(running(cluster)) == len(set(running(cluster)))
+    assert (running_tasks(cluster), zone_state(cluster)) == before
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
 
 
-def test_a_failover_while_a_zone_returns(cluster: World) -> None:
+def test_a_failover_while_a_zone_returns(cluster: Cluster) -> None:
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     assert zone_state(cluster) == "lost"
     reconnect_zones(cluster)
-    wait(cluster, 4.0)
-    first = leader_name(cluster)
+    run_for(cluster, 4.0)
+    first = cluster.require_leader()
     del cluster.nodes[first]
-    wait(cluster, 5.0)
+    run_for(cluster, 5.0)
     assert cluster.leader() not in (None, first)
     assert zone_state(cluster) in ("lost", "returning"), "the new leader continues from the stored record"
-    wait(cluster, 60.0)
+    run_for(cluster, 60.0)
     assert zone_state(cluster) == "up"
     totals = stored_zone_record(cluster).losses[-1].totals()
     assert totals["open"] == 0
     assert sum(totals.values()) == len(lost_tasks)
-    assert len(running(cluster)) == len(set(running(cluster))) == 4 * len(cluster.workers)
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
-def test_tasks_that_ended_between_two_leaders_are_counted_as_over(cluster: World) -> None:
+def test_tasks_that_ended_between_two_leaders_are_counted_as_over(cluster: Cluster) -> None:
     """They were counted as cancelled, since their job was gone."""
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, yard="south", guess_s=900.0))
     cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south", guess_s=900.0))
-    wait(cluster, 5.0)
+    run_for(cluster, 5.0)
     lost_tasks = running_in_zone(cluster)
     assert len(lost_tasks) == 6
     cut_zone_off(cluster)
-    wait(cluster, 22.0)
-    leader = leader_name(cluster)
+    run_for(cluster, 22.0)
+    leader = cluster.require_leader()
     scheduler = cluster.nodes[leader].scheduler
-    record_then = cluster.state.rows[zone_record.key("south")]
+    record_then = cluster.store.rows[zone_record.key("south")]
     reconnect_zones(cluster)
-    wait(cluster, 24.0)  # all tasks run again; two end, and one job with them
+    run_for(cluster, 24.0)  # all tasks run again; two end, and one job with them
     for task_id in running_in_zone(cluster):
         if task_id.startswith("req-000002"):
             cluster.finish(task_id)
-    wait(cluster, 4.0)
+    run_for(cluster, 4.0)
     assert cluster.query("n0", "req-000002") == "done"
     assert scheduler.leader
-    cluster.state.rows[zone_record.key("south")] = record_then  # the last record that was written before
+    cluster.store.rows[zone_record.key("south")] = record_then  # the last record that was written before
     cluster.boot(leader)
-    wait(cluster, 8.0)
+    run_for(cluster, 8.0)
     totals = stored_zone_record(cluster).losses[-1].totals()
     assert totals["over"] == 2
     assert totals["cancelled"] == 0
     assert sum(totals.values()) == 6
 
 
-def test_a_leader_in_the_lost_zone_is_replaced_and_the_next_one_records_the_loss(cluster: World) -> None:
+def test_a_leader_in_the_lost_zone_is_replaced_and_the_next_one_records_the_loss(cluster: Cluster) -> None:
     fill_with_one_job(cluster)
-    leader = leader_name(cluster)
+    leader = cluster.require_leader()
     zone = cluster.nodes[leader].settings.zone
     cut_zone_off(cluster, zone)
     for name, node in cluster.nodes.items():
         if node.settings.zone == zone:
-            cluster.state.lost.add(name)
-            cluster.mesh_cut.add(name)
-            cluster.cut |= {(worker, name) for worker in cluster.workers}
-    wait(cluster, 50.0)
+            cluster.store.unreachable_from.add(name)
+            cluster.mesh_cuts.add(name)
+            cluster.network_cuts |= {(worker, name) for worker in cluster.workers}
+    run_for(cluster, 50.0)
     others = [name for name, node in cluster.nodes.items() if node.settings.zone != zone]
     for name in others:
         if cluster.nodes[name].scheduler.leader:
@@ -260,69 +260,69 @@
             break
     else:
         pytest.fail("no failover")
-    cluster.state.lost.clear()
-    cluster.mesh_cut.clear()
+    cluster.store.unreachable_from.clear()
+    cluster.mesh_cuts.clear()
     reconnect_zones(cluster)
-    wait(cluster, 90.0)
-    assert len(running(cluster)) == len(set(running(cluster)))
+    run_for(cluster, 90.0)
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
 
 
 @pytest.mark.parametrize("back_first", [True, False])
-def test_the_store_is_down_as_the_zone_returns(cluster: World, back_first: bool) -> None:
+def test_the_store_is_down_as_the_zone_returns(cluster: Cluster, back_first: bool) -> None:
     fill_with_one_job(cluster)
     cut_zone_off(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     assert zone_state(cluster) == "lost"
-    cluster.state.down = True
-    wait(cluster, 4.0)
+    cluster.store.down = True
+    run_for(cluster, 4.0)
     if back_first:
         reconnect_zones(cluster)
-        wait(cluster, 6.0)
-    cluster.state.down = False
+        run_for(cluster, 6.0)
+    cluster.store.down = False
     reconnect_zones(cluster)
-    wait(cluster, 60.0)
+    run_for(cluster, 60.0)
     assert zone_state(cluster) == "up"
-    assert len(running(cluster)) == len(set(running(cluster))) == 4 * len(cluster.workers)
+    assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
-def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back(cluster: World) -> None:
+def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back(cluster: Cluster) -> None:
     fill_with_one_job(cluster)
     deleted_worker = next(worker for worker in cluster.workers.values() if worker.zone == "south")
     late_heartbeat = deleted_worker.heartbeat()
     cut_zone_off(cluster)
-    wait(cluster, 40.0)
-    assert deleted_worker.name in cluster.deleted
+    run_for(cluster, 40.0)
+    assert deleted_worker.name in cluster.cloud.deleted
     before = leader_of(cluster).scheduler.state.machines.keys()
-    cluster.replay(late_heartbeat, leader_name(cluster))
+    cluster.replay(late_heartbeat, cluster.require_leader())
     assert deleted_worker.name not in {leader_of(cluster).scheduler.state.machine_names[i] for i in before}
 
 
-def test_services_bound_to_the_zone_and_gangs_partly_inside_it_resume(cluster: World) -> None:
-    cluster.submit("n0", cluster.daemon(1, crew="open", parts=2, yard="south", loaners=True))
+def test_services_bound_to_the_zone_and_gangs_partly_inside_it_resume(cluster: Cluster) -> None:
+    cluster.submit("n0", cluster.service(1, crew="open", parts=2, yard="south", loaners=True))
     cluster.submit("n0", cluster.job(2, crew="open", shape="gang", parts=6, guess_s=900.0))
-    wait(cluster, 8.0)
-    placed = len(running(cluster))
+    run_for(cluster, 8.0)
+    placed = len(running_tasks(cluster))
     assert placed >= 2
     cut_zone_off(cluster)
-    wait(cluster, 22.0)
+    run_for(cluster, 22.0)
     assert [
         task_id
-        for task_id in running(cluster)
+        for task_id in running_tasks(cluster)
         if task_id not in running_in_zone(cluster) and task_id.startswith("req-000001")
     ] == []
     reconnect_zones(cluster)
-    wait(cluster, 60.0)
-    assert {task_id for task_id in running(cluster) if task_id.startswith("req-000001")} == {
+    run_for(cluster, 60.0)
+    assert {task_id for task_id in running_tasks(cluster) if task_id.startswith("req-000001")} == {
         "req-000001/0",
         "req-000001/1",
     }
     assert set(running_in_zone(cluster)) >= {"req-000001/0", "req-000001/1"}
 
 
-def test_work_returns_in_the_configured_order_and_none_starves(cluster: World) -> None:
+def test_work_returns_in_the_configured_order_and_none_starves(cluster: Cluster) -> None:
     fill_with_one_job(cluster)
     cut_zone_off(cluster)
-    wait(cluster, 36.0)  # until its machines are deleted
+    run_for(cluster, 36.0)  # until its machines are deleted
     assert zone_state(cluster) in ("lost", "returning")
     for number, lane in ((2, "trickle"), (3, "sweep"), (4, "hot")):
         cluster.submit(
@@ -332,10 +332,10 @@
             ),
         )
     reconnect_zones(cluster)
-    cluster.capacity = 0
+    cluster.cloud.capacity = 0
     for _ in range(2):  # capacity for two of the three jobs
         cluster.machine(zone="south")
-    wait(cluster, 16.0)
+    run_for(cluster, 16.0)
     assert {task_id[:10] for task_id in running_in_zone(cluster)} == {"req-000004", "req-000003"}, (
         "hot, then sweep"
     )
@@ -347,7 +347,7 @@
     for task_id in running_in_zone(cluster):
         if task_id.startswith("req-000004"):
             cluster.finish(task_id)
-    wait(cluster, 20.0)
+    run_for(cluster, 20.0)
     assert {task_id[:10] for task_id in running_in_zone(cluster)} == {"req-000003", "req-000002"}, (
         "none starves"
     )
--- a/tests/test_zone_recovery_random.py
+++ b/tests/test_zone_recovery_random.py
@@ -2,11 +2,10 @@
 
 import random
 
-from cluster_helpers import leader_name
+from fakes.scenarios import run_for, running_tasks
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from test_stories import running, wait
 from zone_helpers import (
     cut_zone_off,
     reconnect_zones,
@@ -61,24 +60,24 @@
 
     @rule()
     def finish_some(self) -> None:
-        for task_id in running(self.cluster)[::3]:
+        for task_id in running_tasks(self.cluster)[::3]:
             self.cluster.finish(task_id)
 
     @precondition(lambda self: self.cluster.leader() is not None)
     @rule()
     def end_leader(self) -> None:
-        self.cluster.boot(leader_name(self.cluster))
+        self.cluster.boot(self.cluster.require_leader())
 
     @rule(seconds=st.sampled_from([1.0, 4.0, 14.0]))
     def time_passes(self, seconds: float) -> None:
-        wait(self.cluster, seconds)
+        run_for(self.cluster, seconds)
 
     @invariant()
     def rules_hold(self) -> None:
         if not hasattr(self, "cluster"):
             return
         self.cluster.check()
-        assert len(running(self.cluster)) == len(set(running(self.cluster)))
+        assert len(running_tasks(self.cluster)) == len(set(running_tasks(self.cluster)))
         leader = self.cluster.leader()
         if leader is None:
             return
@@ -97,7 +96,7 @@
     def teardown(self) -> None:
         if hasattr(self, "cluster"):
             reconnect_zones(self.cluster)
-            wait(self.cluster, 90.0)
+            run_for(self.cluster, 90.0)
             for job_id in sorted(self.cluster.accepted):
                 assert self.cluster.query("n0", job_id) is not None, "known to the end"
 
--- a/tests/zone_helpers.py
+++ b/tests/zone_helpers.py
@@ -3,8 +3,8 @@
 from typing import Any
 
 from cluster_helpers import leader_of
-from test_stories import running, wait
-from world import World
+from fakes.cluster import Cluster
+from fakes.scenarios import run_for, running_tasks
 
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.recovery import zone_record
@@ -22,25 +22,25 @@
 )
 
 
-def recovery_cluster(machines: int = 8, nodes: int = 3, seed: int = 1) -> World:
+def recovery_cluster(machines: int = 8, nodes: int = 3, seed: int = 1) -> Cluster:
     """Machines in two zones, and a leader in the north."""
-    cluster = World(nodes, policy=RECOVERY_POLICY, seed=seed)
-    cluster.capacity = 0
+    cluster = Cluster(nodes, policy=RECOVERY_POLICY, seed=seed)
+    cluster.cloud.capacity = 0
     for n in range(machines):
         cluster.machine(zone="south" if n % 2 else "north")
-    wait(cluster, 16.0)  # longer than a lease: only then can a new leader know that a zone is lost
+    run_for(cluster, 16.0)  # longer than a lease: only then can a new leader know that a zone is lost
     return cluster
 
 
-def cut_zone_off(cluster: World, zone: str = "south") -> None:
+def cut_zone_off(cluster: Cluster, zone: str = "south") -> None:
     """Cut the machines of a zone off from all controllers."""
     names = [worker.name for worker in cluster.workers.values() if worker.zone == zone]
-    cluster.cut |= {(name, node) for name in names for node in cluster.names}
+    cluster.network_cuts |= {(name, node) for name in names for node in cluster.names}
 
 
-def reconnect_zones(cluster: World) -> None:
+def reconnect_zones(cluster: Cluster) -> None:
     """End all partitions between workers and controllers."""
-    cluster.cut.clear()
+    cluster.network_cuts.clear()
 
 
 def zone_index(scheduler: Scheduler, zone: str) -> int:
@@ -50,28 +50,28 @@
     return index
 
 
-def zone_state(cluster: World, zone: str = "south") -> str:
+def zone_state(cluster: Cluster, zone: str = "south") -> str:
     """The state of a zone as the leader has it."""
     scheduler = leader_of(cluster).scheduler
     return scheduler.zone_monitor.statuses[zone_index(scheduler, zone)].state.value
 
 
-def stored_zone_record(cluster: World, zone: str = "south") -> zone_record.ZoneRecord:
+def stored_zone_record(cluster: Cluster, zone: str = "south") -> zone_record.ZoneRecord:
     """The record of a zone in the key-value store."""
-    return zone_record.decode(cluster.state.rows[zone_record.key(zone)][0])
+    return zone_record.decode(cluster.store.rows[zone_record.key(zone)][0])
 
 
-def running_in_zone(cluster: World, zone: str = "south") -> list[str]:
+def running_in_zone(cluster: Cluster, zone: str = "south") -> list[str]:
     """The tasks that run on machines of a zone, sorted."""
     return sorted(
         task_id for worker in cluster.workers.values() if worker.zone == zone for task_id in worker.running()
     )
 
 
-def fill_with_one_job(cluster: World, **fields: Any) -> list[str]:
+def fill_with_one_job(cluster: Cluster, **fields: Any) -> list[str]:
     """Run a job with a task for every CPU; the tasks of it that run in the south."""
     tasks = 4 * len(cluster.workers)
     cluster.submit("n0", cluster.job(1, **({"crew": "open", "parts": tasks, "guess_s": 900.0} | fields)))
-    wait(cluster, 5.0)
-    assert len(running(cluster)) == tasks
+    run_for(cluster, 5.0)
+    assert len(running_tasks(cluster)) == tasks
     return running_in_zone(cluster)
