--- a/deploy/all-parts.star
+++ b/deploy/all-parts.star
@@ -1,5 +1,5 @@
-# Every part of bayford turned on, whatever the bench says of it: for trials, and for sites that want them.
-# What each setting is for is said in deploy/policy.star, which `run` uses.
+# Every part of bayford turned on, whatever its figures on the bench: for trials, and for sites that want them.
+# deploy/policy.star, which `run` uses, says what each setting is for.
 #
 #     python3 run.py --config settings.toml --script deploy/all-parts.star
 
