--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -2,7 +2,7 @@
 
 Everything runs under one short lock, that of `owner_state`. Threads in `controller` carry the results out:
 the group commit writes what `take_batch` hands over, the cloud threads do what `scaling_step` asks, and
-answers to heartbeats carry what `commands_for` lists. The safety argument is in docs/safety-argument.md; the
+answers to heartbeats carry what `commands_for` lists. The safety argument is in docs/architecture.md; the
 rules that it rests on are stated where the code keeps them.
 
 the scheduler is put together of parts, each given the leader's state: `group_commit` (what is written),
--- a/bayford/recovery/zone_health.py
+++ b/bayford/recovery/zone_health.py
@@ -3,7 +3,7 @@
 A zone counts as lost only if most of its machines are silent together while others are heard: single machines
 are nobody's zone, and a leader that hears nobody may be the one that is cut off. Who can't know stays with
 the state that it has, and says why. Nothing here ends any work: that takes the evidence of the safety
-argument (docs/safety-argument.md), whatever a zone is called.
+argument (docs/architecture.md), whatever a zone is called.
 """
 
 import enum
