--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -7,7 +7,7 @@
 
 Threads of `controller` carry the results out: the group commit writes what `take_batch` hands over, the cloud
 threads do what `scaling_step` asks, and answers to heartbeats carry what `commands_for` lists. The safety
-argument is in docs/architecture.md; the rules that it rests on are stated where the code keeps them. Every
+argument is in docs/safety-argument.md; the rules that it rests on are stated where the code keeps them. Every
 method may be called from any thread, without the lock.
 """
 
--- a/bayford/recovery/zone_health.py
+++ b/bayford/recovery/zone_health.py
@@ -3,7 +3,7 @@
 A zone counts as lost only if most of its machines fall silent together while other zones are heard: a few
 silent machines are no lost zone, and a leader that hears no zone may be the one that is cut off. A leader
 that can't tell keeps the zone's state and says why. No transition ends any work: that takes the evidence of
-the safety argument (docs/architecture.md), whatever state a zone is in.
+the safety argument (docs/safety-argument.md), whatever state a zone is in.
 
 Pure functions: times are passed in, on any one clock.
 """
