--- a/bayford/coordination/leader/job_records.py
+++ b/bayford/coordination/leader/job_records.py
@@ -32,7 +32,8 @@
             state.recovered_predecessor = bool(state.jobs or state.summarized_images)
             state.complete = True
             log.info(
-                "leader elected: fencing_token=%d term=%d open_jobs=%d machines=%d",
+                "leader elected: member=%s fencing_token=%d term=%d open_jobs=%d machines=%d",
+                state.settings.member,
                 state.fencing_token,
                 state.term,
                 len(state.jobs),
--- a/bayford/coordination/row_dispatcher.py
+++ b/bayford/coordination/row_dispatcher.py
@@ -54,7 +54,7 @@
         try:
             self._scheduler.reconcile_job(records.decode(row.value), row.version)
         except records.UnreadableError as error:
-            log.error("unreadable job record: key=%s error=%s", row.key, error)
+            log.error("record unreadable: key=%s reason=%s", row.key, error)
 
     def _take_relayed_heartbeats(self, row: Row) -> None:
         relay, heartbeats = heartbeats_in(row, self._wall())
--- a/bayford/coordination/workers/heartbeat_service.py
+++ b/bayford/coordination/workers/heartbeat_service.py
@@ -93,8 +93,8 @@
         """
         arrived_at = self._clock()
         if self._connectivity.is_isolated():
-            # The worker still hears this controller, which can neither read nor write, and another has taken
-            # over or is about to: let the worker find that one while its lease lasts.
+            # The worker still reaches this controller, which can neither read nor write, and another has
+            # taken over or is about to: let the worker find that one while its lease lasts.
             return Reply(503, jobs.error("cut off from the state service and the other controllers"))
         if not self._knows_newest_leader(heartbeat):
             return Reply(503, jobs.error("a newer leadership record exists"))
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -29,7 +29,7 @@
 MAX_AGE_S = 15.0  # of a relay's rows, for the leader to take heartbeats from them
 KEPT_S = 8.0  # how long a heartbeat is passed on
 CHANGED_PERIOD_S, UNCHANGED_PERIOD_S = 0.7, 4.0  # how often heartbeats are passed on
-MAX_PERIOD_S = 8.0  # however many values that takes: the leader must hear of machines within a lease
+MAX_PERIOD_S = 8.0  # however many values that takes: the leader has to learn of a machine within its lease
 MAX_REMEMBERED = 32_768  # machines, and cancelled jobs
 ENVELOPE_BYTES = 64  # of a value: what surrounds the packed heartbeats
 
@@ -147,7 +147,7 @@
         """Another controller has confirmed the cancellation of these; the watch cache may not know it yet."""
         with self._lock:
             if len(self._known_cancelled) > MAX_REMEMBERED:
-                self._known_cancelled.clear()  # told early is all that it is: the watch cache will know
+                self._known_cancelled.clear()  # only early notice: the watch cache learns of them anyway
             self._known_cancelled.update(jobs)
 
     def stop_commands(self, heartbeat: workers.Heartbeat) -> list[workers.Command]:
@@ -212,5 +212,5 @@
     try:
         return name, mesh.unpack_heartbeats(row.value["reports"])
     except ValueError as error:
-        log.error("unreadable relay row: key=%s error=%s", row.key, error)
+        log.error("record unreadable: key=%s reason=%s", row.key, error)
         return name, []
--- a/bayford/serve.py
+++ b/bayford/serve.py
@@ -54,8 +54,7 @@
             return None
 
     def notify_cancelled(self, cancelled: dict[str, float]) -> bool:
-        """Report confirmed cancellations, job and time of day; whether the controller needs to hear no
-        more."""
+        """Report confirmed cancellations, job and time of day; whether that need not be repeated."""
         body = mesh.encode_cancelled(cancelled)
         try:
             status, _ = self._notices.call("POST", mesh.CANCELLED_PATH, body, NOTICE_TIMEOUT_S)
--- a/tests/test_launch_planning.py
+++ b/tests/test_launch_planning.py
@@ -44,30 +44,8 @@
     assert plan_for(without_spot, refused=[spot]) == [(on_demand, 2)], (
         "no spot machine exists or is available"
     )
-    late = scaling.Demand(
-        pools=demand.pools,
-        tasks=8,
-        cpus=1.0,
-        gpus=0.0,
-        mem_gb=1.0,
-        run_s=20.0,
-        urgent=False,
-        on_demand=3,
-        host_cpus=640.0,
-        spot_cpus=640.0,
-    )
+    late = dataclasses.replace(demand, on_demand=3)
     assert plan_for(late, refused=[spot]) == [(on_demand, 1)], "only as many as are worth it"
-    urgent = scaling.Demand(
-        pools=demand.pools,
-        tasks=8,
-        cpus=1.0,
-        gpus=0.0,
-        mem_gb=1.0,
-        run_s=20.0,
-        urgent=True,
-        on_demand=0,
-        host_cpus=640.0,
-        spot_cpus=640.0,
-    )
+    urgent = dataclasses.replace(demand, urgent=True)
     assert plan_for(urgent, refused=[spot]) == [(on_demand, 2)]
     assert plan_for(urgent, refused=[spot], preemptible=8.0) == [], "it may preempt work of lower priority"
