--- a/bayford/coordination/leader/heartbeat_handler.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -1,7 +1,7 @@
-"""What workers send to the leader: heartbeats, taken into its state.
+"""Applies the heartbeats of workers to the leader's state.
 
-Reconciliation of single tasks is in `task_reconciliation`, trust in machines in `machine_health`; what
-workers are answered is in `worker_commands`.
+Single tasks are reconciled in `task_reconciliation`, the health of machines is tracked in `machine_health`,
+and the commands in the answers come from `worker_commands`.
 """
 
 import logging
@@ -18,7 +18,7 @@
 
 
 class HeartbeatHandler:
-    """Takes heartbeats in. The public methods take the lock of the leader's state by themselves."""
+    """Applies heartbeats to the leader's state. The public methods take the lock of the state themselves."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
@@ -28,13 +28,16 @@
     def on_heartbeat(
         self, heartbeat: workers.Heartbeat, after: float = NEVER, relay: str = "", asked: bool = False
     ) -> int | None:
-        """Take a heartbeat in; its machine's index, or None if it must not be answered: this controller does
-        not lead, the machine is deleted, or the heartbeat belongs to an earlier epoch.
+        """Apply a heartbeat and return the index of its machine, or None if it must not be answered.
 
-        `after` is a moment (steady clock) before which the heartbeat was certainly not sent: the answer to
-        the heartbeat before it on the same connection. Heartbeats may be minutes late, and only this tells.
-        `relay` is the controller that it came through, empty if it came directly. `asked`: it is the answer
-        to a direct command, and an answer to an earlier heartbeat may still be on its way.
+        A heartbeat is not answered if this controller is not the leader, the machine is deleted, or the
+        heartbeat belongs to an earlier epoch.
+
+        `after` is a lower bound (steady clock) of the time at which the heartbeat was sent: the time of the
+        answer to the previous heartbeat on the same connection. A heartbeat may be delivered minutes late,
+        and nothing else bounds its age. `relay` is the controller that forwarded it, empty if the worker sent
+        it directly. `asked` is true if it is the response to a direct command; the answer to an earlier
+        heartbeat may then still be in flight.
         """
         state = self._state
         with state.lock:
@@ -44,29 +47,31 @@
             machine = state.machine_named(heartbeat.machine, now)
             order = (heartbeat.epoch, heartbeat.sequence)
             if order <= (machine.epoch, machine.sequence) and machine.registered:
-                # Overtaken, by the answer to a direct command perhaps: it tells nothing new, but it can be
-                # answered.
+                # A newer heartbeat arrived first, for example the response to a direct command. This one has
+                # no new information, but can be answered.
                 return machine.index if heartbeat.epoch == machine.epoch else None
             state.last_heartbeat_received_at = now
             if heartbeat.epoch > machine.epoch:
                 self._on_new_epoch(machine, heartbeat.epoch, now)
-            seen = {(task.task_id, task.attempt): task.phase for task in heartbeat.tasks}
+            phases = {(task.task_id, task.attempt): task.phase for task in heartbeat.tasks}
             if not asked and not relay:
-                self._health.check_acknowledged(machine, seen)
-            self._note_heartbeat(machine, heartbeat, relay, now)
+                self._health.check_acknowledged(machine, phases)
+            self._update_machine(machine, heartbeat, relay, now)
             for task in heartbeat.tasks:
                 placement = machine.open.get((task.task_id, task.attempt))
                 if placement is not None:
                     self._tasks.reconcile(machine, placement, task, now)
-            state.seen[machine.index] = seen
-            self._close_unstarted(machine, seen, after)
+            state.seen[machine.index] = phases
+            self._close_unstarted(machine, phases, after)
             if not machine.open and machine.idle_since <= 0:
                 machine.idle_since = now
             return machine.index
 
     def on_answered(self, index: int, heartbeat: workers.Heartbeat, commands: list[workers.Command]) -> None:
-        """A heartbeat is answered with these commands. An answer to a late copy of a heartbeat reaches no
-        worker and doesn't count."""
+        """Record that a heartbeat is answered with these commands.
+
+        An answer to a late copy of a heartbeat reaches no worker and is not recorded.
+        """
         with self._state.lock:
             machine = self._state.machines.get(index)
             if machine is not None and (machine.epoch, machine.sequence) == (
@@ -77,7 +82,7 @@
                 machine.sent_commands = [SentCommand(c.task_id, c.attempt, c.verb) for c in commands]
 
     def worker_contact(self, since: float) -> WorkerContact:
-        """How many machines sent a heartbeat after `since` (steady clock), directly and by each relay."""
+        """Return how many machines sent a heartbeat after `since` (steady clock), directly and by relay."""
         direct = 0
         relayed: dict[str, int] = {}
         with self._state.lock:
@@ -90,16 +95,17 @@
                     direct += 1
         return WorkerContact(direct, relayed)
 
-    def _note_heartbeat(self, machine: Machine, heartbeat: workers.Heartbeat, relay: str, now: float) -> None:
+    def _update_machine(self, machine: Machine, heartbeat: workers.Heartbeat, relay: str, now: float) -> None:
+        """Update the machine's own fields, but not its tasks, from the heartbeat."""
         if heartbeat.fencing_token >= self._state.fencing_token:
-            # A worker that names the fencing token of this term was answered in this term. A late copy of a
-            # heartbeat, or a machine that no answer reaches, never does, and gets no work.
+            # A worker that sends the fencing token of this term has received an answer in this term. Late
+            # copies of heartbeats and machines that receive no answers do not have it and get no work.
             machine.token_acknowledged = True
         machine.sequence = heartbeat.sequence
         machine.last_heartbeat_at = now
         machine.relay = relay
         if relay:
-            machine.last_answered_at = now  # by the relay, a moment ago
+            machine.last_answered_at = now  # the relay has just answered it
         if not machine.registered:
             self._register(machine, heartbeat, now)
         if heartbeat.reclaim_notice_s is not None:
@@ -122,7 +128,8 @@
         self._state.capacity_index.update(machine)
 
     def _on_new_epoch(self, machine: Machine, epoch: int, now: float) -> None:
-        """The worker's lease expired: it has killed and forgotten all tasks of earlier epochs."""
+        """Requeue the machine's tasks of earlier epochs. The worker killed and dropped them when its lease
+        expired."""
         self._health.on_lease_expired(machine, now)
         machine.sent_commands.clear()
         lost = [p for p in machine.open.values() if p.epoch < epoch]
@@ -135,17 +142,17 @@
             self._state.close(machine, placement, now)
             placement.job.requeue(placement.task)
 
-    def _close_unstarted(self, machine: Machine, seen: dict[AttemptKey, str], after: float) -> None:
-        """Close what a cancelled job had on its way to the worker and the worker does not have.
+    def _close_unstarted(self, machine: Machine, phases: dict[AttemptKey, str], after: float) -> None:
+        """Close placements of cancelled jobs that the worker does not list.
 
-        Safe only for a heartbeat sent after the cancellation was committed: no controller answers that
-        heartbeat or a later one with the start (the gate reads the cancellation), and a worker has one
-        heartbeat in flight, so the answer to an earlier one has been dropped or executed already. A heartbeat
-        that was merely received after the cancellation may have been held back by a network partition and
-        proves nothing.
+        This is safe only if the heartbeat was sent after the cancellation was committed. No controller then
+        answers this heartbeat or a later one with the start, since the gate for starts reads the
+        cancellation. A worker has one heartbeat in flight, so the answer to any earlier heartbeat has already
+        been dropped or executed. A heartbeat that was only received after the cancellation proves nothing, as
+        a network partition may have delayed it.
         """
         now = self._state.clock()
         for key, placement in list(machine.open.items()):
-            absent = key not in seen and placement.epoch == machine.epoch
-            if placement.job.cancelled and absent and after >= placement.job.cancel_known:
+            is_absent = key not in phases and placement.epoch == machine.epoch
+            if placement.job.cancelled and is_absent and after >= placement.job.cancel_known:
                 self._state.close(machine, placement, now)
--- a/bayford/coordination/leader/job_records.py
+++ b/bayford/coordination/leader/job_records.py
@@ -1,4 +1,5 @@
-"""Job records of the key-value store, taken into the leader's state: at a failover, and one by one later."""
+"""Applies job records of the key-value store to the leader's state: all of them at a failover, single changed
+records afterwards."""
 
 import logging
 from collections.abc import Mapping
@@ -15,18 +16,18 @@
 
 
 class JobRecords:
-    """Follows the records of jobs. The public methods take the lock of the leader's state by themselves."""
+    """Applies job records. The public methods take the lock of the leader's state themselves."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
 
     def recover(self, recovered: RecoveredState) -> None:
-        """Become leader: rebuild everything from the records. Nothing is placed before this is complete."""
+        """Become leader and rebuild the state from the records. No task is placed before this is complete."""
         state = self._state
         with state.lock:
             state.begin_term(recovered)
             for job in recovered.jobs:
-                self._load(job.record, job.version, state.leader_since, job.progress)
+                self._load_job(job.record, job.version, state.leader_since, job.progress)
             self._load_migration_counts(recovered.migration_counts)
             state.events.on_leadership_acquired()
             state.recovered_predecessor = bool(state.jobs or state.summarized_images)
@@ -41,7 +42,7 @@
             )
 
     def reconcile_job(self, record: records.Record, version: int) -> None:
-        """A job's record changed in the store, and has this version now."""
+        """Apply a job's changed record, which has this version in the key-value store."""
         state = self._state
         with state.lock:
             if not state.leader or not state.complete:
@@ -49,25 +50,27 @@
             spec = record.spec
             job = state.jobs.get(spec.id)
             if job is None:
-                if not record.over and self._load(record, version, state.clock()) is not None:
-                    state.note_accepted(spec)
+                if not record.over and self._load_job(record, version, state.clock()) is not None:
+                    state.record_accepted_job(spec)
                     log.info("job accepted: job=%s tasks=%d", spec.id, spec.tasks)
                 return
             if version <= job.version:
                 return
             job.version = version
             if record.finished:
-                # This leader's own write, whose answer was lost: the rows beside it closed the job as well.
+                # A write of this leader whose answer was lost. The task log rows in the same transaction
+                # closed the job as well.
                 state.drop_job(spec.id)
             elif record.cancelled and not job.cancelled:
                 self._cancel(job, record.cancelled)
 
     def on_cancelled(self, cancelled: Mapping[str, float]) -> None:
-        """Another controller has confirmed the cancellations of these jobs, at these times of day; the
-        key-value store may be out of reach here.
+        """Apply cancellations that another controller has confirmed, given as the time of day by job id.
 
-        A cancellation is final, so to stop the job is right on any view, however old. A job that is not known
-        here yet starts only after a read that shows its cancellation too.
+        May be called while the key-value store is unreachable from this controller.
+
+        A cancellation is final, so stopping the job is correct even on an outdated view. A job that is still
+        unknown to this controller starts only after a read that returns its cancellation too.
         """
         state = self._state
         with state.lock:
@@ -94,16 +97,19 @@
         job.cancel_known = now
         job.cancelled_at = now - max(0.0, wall - cancelled_wall)
 
-    def _load(
+    def _load_job(
         self, record: records.Record, version: int, now: float, progress: Progress | None = None
     ) -> Job | None:
-        """Take a job in, with what the task log says of it; None if nothing of it is left to be done, or its
-        team is unknown."""
+        """Add a job to the state, with its progress from the task log.
+
+        Returns None, without adding it, if the job has ended and has no open placement, or if its team is
+        unknown.
+        """
         state, spec = self._state, record.spec
         if record.over and (progress is None or not progress.open):
             return None
         team = state.team_names.find(spec.team)
-        if team is None:  # the settings lost a team: its tasks run on and count against no quota
+        if team is None:  # removed from the settings: its tasks run on without a quota
             log.error("job not loaded, its team is not in the settings: job=%s team=%s", spec.id, spec.team)
             return None
         wall = state.wall()
@@ -149,7 +155,7 @@
             placement = state.make_placement(job, task, attempt, machine, epoch)
             placement.durable = True
             state.book(job, machine, placement)
-            if job.cancelled:  # the cancellation outlives the leader that saw it
+            if job.cancelled:  # the cancellation still applies under the new leader
                 state.stop(placement, 0.0)
 
     def _load_migration_counts(self, migration_counts: Mapping[str, Any]) -> None:
--- a/bayford/coordination/leader/leader_events.py
+++ b/bayford/coordination/leader/leader_events.py
@@ -1,7 +1,7 @@
-"""What the parts of a controller learn of changes of the leader's state.
+"""Events that notify other components of a controller of changes to the leader's state.
 
-`LeaderState` publishes each change to all subscribed listeners. Every method is called under the lock of the
-state: a listener has to be short, do no I/O and take no lock that is ever held while the state is called.
+`LeaderState` publishes each event to all subscribed listeners while its lock is held. A listener must return
+quickly, do no I/O, and take no lock that any thread holds while it calls the state.
 """
 
 from collections.abc import Sequence
@@ -11,41 +11,41 @@
 
 
 class LeaderListener:
-    """A subscriber to the leader's state. Each method does nothing unless it is overridden."""
+    """Base class of subscribers to the leader's state. Each method does nothing unless overridden."""
 
     def on_leadership_acquired(self) -> None:
-        """A leadership term has begun; all jobs and machines have been rebuilt."""
+        """Called when a leadership term has begun and all jobs and machines have been rebuilt."""
 
     def on_job_accepted(self, spec: JobSpec) -> None:
-        """A job that was not known before is now served."""
+        """Called when a new job has been accepted."""
 
     def on_task_placed(self, placement: Placement) -> None:
-        """A task has been put on a machine; the placement is not durable yet."""
+        """Called when a task has been placed on a machine. The placement is not durable yet."""
 
     def on_task_done(self, placement: Placement) -> None:
-        """A task has completed; its end is not durable yet."""
+        """Called when a task has completed. Its completion is not durable yet."""
 
     def on_commands_ready(self, machine: int) -> None:
-        """There may be commands for a machine whose heartbeat is being held."""
+        """Called when there may be commands for a machine whose heartbeat is being held."""
 
     def on_stop_requested(self, machine: int) -> None:
-        """A task on the machine is to be stopped."""
+        """Called when the stop of a task on the machine has been requested."""
 
     def on_machine_deleted(self, machine: int) -> None:
-        """The cloud has confirmed that the machine is gone."""
+        """Called when the cloud has confirmed the deletion of the machine."""
 
     def on_migrations_counted(self, migrations: Sequence[Migration]) -> None:
-        """The restart counts of these migrations are durable: they may begin."""
+        """Called when the restart counts of these migrations are durable, so that they may start."""
 
 
 class LeaderEvents(LeaderListener):
-    """Passes every event on to all subscribers, in the order in which they subscribed."""
+    """Forwards every event to all listeners, in the order of their subscription."""
 
     def __init__(self) -> None:
         self._listeners: list[LeaderListener] = []
 
     def subscribe(self, listener: LeaderListener) -> None:
-        """Add a listener. Called while the controller is put together, before its threads start."""
+        """Add a listener. Must be called before the controller's threads start."""
         self._listeners.append(listener)
 
     def on_leadership_acquired(self) -> None:
--- a/bayford/coordination/leader/machine_health.py
+++ b/bayford/coordination/leader/machine_health.py
@@ -1,4 +1,4 @@
-"""Which machines are trusted with work: unresponsive ones, and those on which tasks fail."""
+"""Detects unresponsive machines and machines on which tasks fail, and quarantines them."""
 
 import logging
 
@@ -8,56 +8,60 @@
 
 log = logging.getLogger(__name__)
 
-RESPONSE_DEADLINE_S = 4.5  # a worker drops answers that come later than 4 s
-MAX_UNACKNOWLEDGED_RESPONSES = 3  # so many answers in a row without an effect make a machine unresponsive
+RESPONSE_DEADLINE_S = 4.5  # a worker drops answers that arrive later than 4 s
+MAX_UNACKNOWLEDGED_RESPONSES = 3  # consecutive answers without effect that make a machine unresponsive
 MAX_UNEXPECTED_LEASE_EXPIRIES = 2
-# No machine is declared unresponsive while more than this many, and more than one in this many, are suspect.
+# No machine is declared unresponsive while more than MAX_SUSPECTS machines are suspect and these are more
+# than one in SUSPECT_FRACTION of the registered machines.
 MAX_SUSPECTS = 3
 SUSPECT_FRACTION = 4
-MIN_HEALTHY_RUN_S = 5.0  # a task that has run for so long is no failure
+MIN_HEALTHY_RUN_S = 5.0  # a task that has run longer than this shows that its machine works
 MIN_FAILURES_TO_QUARANTINE = 2
-MACHINE_BACKOFF_S = 3.0  # after a failed task
+MACHINE_BACKOFF_S = 3.0  # pause in placements on a machine after a failed task
 
 
 class MachineHealth:
-    """Watches acknowledgements, leases and failures, and puts machines into quarantine. Called under the lock
-    of the leader's state."""
+    """Tracks acknowledgements, lease expiries and task failures, and quarantines machines.
+
+    Callers must hold the lock of the leader's state.
+    """
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
 
     def on_lease_expired(self, machine: Machine, now: float) -> None:
-        """The worker has begun a new epoch. If it was answered well within its lease, it may receive no
-        answers."""
+        """Handle a new epoch of the worker. If the worker was answered well within its lease and the lease
+        still expired, the answers may not reach it."""
         times = self._state.settings.facts.workers
         if machine.registered and now - machine.last_answered_at < times.lease_s - RESPONSE_DEADLINE_S:
             machine.lease_expiries += 1
             if machine.lease_expiries >= MAX_UNEXPECTED_LEASE_EXPIRIES:
                 self._mark_unresponsive(machine)
 
-    def check_acknowledged(self, machine: Machine, seen: dict[AttemptKey, str]) -> None:
-        """Whether the heartbeat with these phases shows an effect of the last answer.
+    def check_acknowledged(self, machine: Machine, phases: dict[AttemptKey, str]) -> None:
+        """Check whether a heartbeat that reports `phases` shows an effect of the last answer's commands, and
+        count the consecutive answers without effect.
 
-        A worker has one heartbeat in flight, so this one was sent after that answer came, or the answer will
-        never come.
+        A worker has one heartbeat in flight, so this heartbeat was sent after the last answer arrived, or
+        that answer will never arrive.
         """
         if not machine.sent_commands:
             return
-        acknowledged = False
+        is_acknowledged = False
         for task_id, attempt, verb in machine.sent_commands:
-            phase = seen.get((task_id, attempt))
+            phase = phases.get((task_id, attempt))
             if verb == workers.START:
-                acknowledged = acknowledged or phase is not None
+                is_acknowledged = is_acknowledged or phase is not None
             elif verb == workers.REAP:
-                acknowledged = acknowledged or phase is None
+                is_acknowledged = is_acknowledged or phase is None
             else:
-                acknowledged = acknowledged or phase not in (
+                is_acknowledged = is_acknowledged or phase not in (
                     workers.RUNNING,
                     workers.FETCHING,
                     workers.GATHERING,
                 )
         machine.sent_commands.clear()
-        if acknowledged:
+        if is_acknowledged:
             machine.unacknowledged = machine.lease_expiries = 0
             return
         machine.unacknowledged += 1
@@ -65,12 +69,14 @@
             self._mark_unresponsive(machine)
 
     def _mark_unresponsive(self, machine: Machine) -> None:
-        """Heartbeats of the machine come and it acts on no answer: no more work for it, and another in its
-        place. What it has counts as there until its deletion is confirmed."""
+        """Quarantine a machine that sends heartbeats but does not act on the answers, so that it is replaced.
+
+        Its placements stay open until its deletion is confirmed.
+        """
         registered = sum(m.registered for m in self._state.machines.values())
         suspects = sum(m.unacknowledged > 0 or m.lease_expiries > 0 for m in self._state.machines.values())
         if machine.quarantined or suspects > max(MAX_SUSPECTS, registered // SUSPECT_FRACTION):
-            return  # with so many at a time the fault is this controller's, or the network's
+            return  # with so many suspects the fault lies with this controller or the network
         machine.quarantined = machine.lost = True
         log.error(
             "machine unresponsive: machine=%s unacknowledged_responses=%d unexpected_lease_expiries=%d",
@@ -80,19 +86,22 @@
         )
 
     def on_task_failed(self, machine: Machine, job: Job, runs_elsewhere: bool, now: float) -> None:
-        """A task of the job failed on the machine, and the job is not to blame: quarantine the machine if
-        several jobs fail on it, or one again and again that runs elsewhere."""
-        several_jobs = len(machine.failed_jobs) >= MIN_FAILURES_TO_QUARANTINE
-        # A replica that can't run anywhere would cost one machine after the other.
-        one_job = (
+        """Handle a task failure that is not the job's fault.
+
+        Quarantines the machine if several jobs fail on it, or if a single job fails on it repeatedly and runs
+        on other machines.
+        """
+        has_several_failed_jobs = len(machine.failed_jobs) >= MIN_FAILURES_TO_QUARANTINE
+        # Services are excluded: a replica that cannot run anywhere would quarantine machine after machine.
+        has_one_failing_job = (
             sum(machine.failed_jobs.values()) >= MIN_FAILURES_TO_QUARANTINE
             and runs_elsewhere
             and not job.is_service
         )
-        if (several_jobs or one_job) and not machine.quarantined:
+        if (has_several_failed_jobs or has_one_failing_job) and not machine.quarantined:
             machine.quarantined = True
             log.error(
                 "machine quarantined: machine=%s failed_jobs=%s", machine.name, ",".join(machine.failed_jobs)
             )
-        elif not several_jobs:
+        elif not has_several_failed_jobs:
             machine.backoff_until = max(machine.backoff_until, now + MACHINE_BACKOFF_S)
--- a/bayford/coordination/leader/objectives.py
+++ b/bayford/coordination/leader/objectives.py
@@ -1,4 +1,4 @@
-"""What the service-level objectives of the settings say of classes of jobs."""
+"""Targets of the job classes, from the service-level objectives in the settings."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,17 +8,17 @@
 
 @dataclass(slots=True)
 class Objectives:
-    """Targets by class name, in seconds after a job's acceptance."""
+    """Targets in seconds after a job's acceptance."""
 
-    completion_targets_s: dict[str, float]  # for jobs without a deadline of their own
-    # Classes that the objectives name and that may be services: how soon they start counts, how soon they
-    # end does not. A job of another shape shows that its class is none; `LeaderState` then removes it.
+    completion_targets_s: dict[str, float]  # by class name; for jobs without a deadline
+    # Classes that may consist of services: the objectives set targets for their start but not for their end.
+    # A class is removed by `JobRecords` when one of its jobs turns out not to be a service.
     service_classes: set[str | None]
-    service_start_target_s: float  # in which a service's replicas have to run; 0 if no objective says
+    service_start_target_s: float  # within which a service's replicas must run; 0: no target
 
     @classmethod
     def of(cls, objectives: Sequence[Objective]) -> "Objectives":
-        """Gather the targets from the settings."""
+        """Return the targets derived from the objectives in the settings."""
         ending_classes = {o.job_class for o in objectives if o.kind in ("finished", "deadline")}
         start_objectives = [
             o for o in objectives if o.kind in ("wait", "up") and o.job_class not in ending_classes
--- a/bayford/coordination/leader/task_failures.py
+++ b/bayford/coordination/leader/task_failures.py
@@ -1,4 +1,5 @@
-"""Tasks that failed or were refused: whether job or machine is at fault, and when the job is tried again."""
+"""Handles tasks that failed or were refused: decides whether the job or the machine is at fault, and when the
+job is retried."""
 
 import logging
 
@@ -9,29 +10,31 @@
 
 log = logging.getLogger(__name__)
 
-MIN_STEADY_RUN_S = 30.0  # after a run of this length a replica's back-off begins anew
+MIN_STEADY_RUN_S = 30.0  # a run longer than this resets a replica's back-off
 MAX_REPLICA_BACKOFF_S = 30.0
 MAX_JOB_BACKOFF_S = 60.0
 MAX_BACKOFF_DOUBLINGS = 5
 MAX_REPLICA_BACKOFF_DOUBLINGS = 10
-JOB_FAULT_BACKOFF_S = 8.0  # the first back-off of a job that fails on every machine
-REFUSED_BACKOFF_S = 2.0  # of a job that a worker refused to run
+JOB_FAULT_BACKOFF_S = 8.0  # first back-off of a job that fails on every machine
+REFUSED_BACKOFF_S = 2.0  # back-off of a job that a worker refused to run
 FULL_MACHINE_BACKOFF_S = 1.0
-MAX_FAILED_MACHINES = 8  # so many machines a job avoids because it failed there; with more it avoids none
+MAX_FAILED_MACHINES = 8  # number of machines that a job avoids after failures; if more, the list is cleared
 
 
 class TaskFailures:
-    """Back-off of jobs and replicas. Called under the lock of the leader's state."""
+    """Backs off jobs and replicas. Callers must hold the lock of the leader's state."""
 
     def __init__(self, state: LeaderState, health: MachineHealth) -> None:
         self._state = state
         self._health = health
 
-    def on_not_run(self, machine: Machine, placement: Placement, reason: str | None, now: float) -> None:
-        """A task has failed, or its machine has refused it."""
+    def on_failed_or_refused(
+        self, machine: Machine, placement: Placement, reason: str | None, now: float
+    ) -> None:
+        """Handle a task that failed or that its machine refused to start, for `reason`."""
         job = placement.job
         if reason == workers.FULL:
-            # The placement was decided on an outdated view of the machine; wait for a newer heartbeat.
+            # The placement was based on an outdated view of the machine; wait for a newer heartbeat.
             self._state.refusals += 1
             machine.backoff_until = now + FULL_MACHINE_BACKOFF_S
             log.debug("task refused: task=%s machine=%s reason=full", placement.task_id, machine.name)
@@ -40,14 +43,18 @@
         else:
             log.info("task refused: task=%s machine=%s reason=%s", placement.task_id, machine.name, reason)
             if reason == workers.UNKNOWN and job.not_before <= now:
-                # A submission that its user gave up on and that was executed late: no worker may ever know
-                # it. Tried every other second it would keep capacity from all others for ever.
+                # A submission that was executed late, after its user had given up on it, may never be known
+                # to any worker. Retried every two seconds, it would keep capacity from all other jobs
+                # forever.
                 self._back_off(job, now, REFUSED_BACKOFF_S)
             job.not_before = max(job.not_before, now + REFUSED_BACKOFF_S)
 
     def on_replica_ended(self, job: Job, placement: Placement, now: float) -> None:
-        """A replica of a service has ended by itself: it is started again at once, but one that ends again
-        and again only after a while, each time a longer one. The job's other replicas go on."""
+        """Restart a replica of a service that ended by itself.
+
+        The first restart is immediate. If the replica ends repeatedly, the following ones are delayed by an
+        exponential back-off. The job's other replicas are not affected.
+        """
         ran_steadily = (
             placement.running_since is not None and now - placement.running_since > MIN_STEADY_RUN_S
         )
@@ -62,14 +69,17 @@
             job.requeue(placement.task)
 
     def _back_off(self, job: Job, now: float, first_s: float) -> float:
-        """Try the job again only after a while, each time a longer one; the seconds until then."""
+        """Delay the job's next attempt by an exponential back-off and return the delay in seconds.
+
+        `first_s` is the delay of the first back-off.
+        """
         wait_s = min(MAX_JOB_BACKOFF_S, first_s * 2.0 ** min(job.backoff_count, MAX_BACKOFF_DOUBLINGS))
         job.backoff_count += 1
         job.not_before = now + wait_s
         return wait_s
 
     def _on_failed(self, machine: Machine, job: Job, task_id: str, now: float) -> None:
-        """A task failed: blame the machine if it fails several jobs, the job if it fails everywhere."""
+        """Attribute a task's failure: to the job if it fails on every machine, otherwise to the machine."""
         job.errors += 1
         job.failed_on.add(machine.index)
         machine.failed_at = now
@@ -84,19 +94,19 @@
         runs_elsewhere = self._runs_elsewhere(job, now)
         if len(job.failed_on) >= self._state.policy.job_fault_machines and not runs_elsewhere:
             job.failed_on.clear()
-            if not job.is_service:  # replicas of a service back off, each by itself
+            if not job.is_service:  # replicas of a service back off individually
                 wait_s = self._back_off(job, now, JOB_FAULT_BACKOFF_S)
-                log.error("job back-off, it fails on every machine: job=%s wait_s=%.0f", job.spec.id, wait_s)
+                log.error("job backed off, fails on every machine: job=%s wait_s=%.0f", job.spec.id, wait_s)
             return
         if len(job.failed_on) > MAX_FAILED_MACHINES:
             job.failed_on.clear()
         self._health.on_task_failed(machine, job, runs_elsewhere, now)
 
     def _runs_elsewhere(self, job: Job, now: float) -> bool:
-        """Whether the job runs on machines on which it has not failed.
+        """Return whether the job has completed tasks, or runs on machines on which it has not failed.
 
-        Of hundreds of machines some are faulty at the same time, and a large array meets several of them: as
-        long as it runs elsewhere, the fault is not the job's.
+        Among hundreds of machines several may be faulty at the same time, and a large array job is placed on
+        several of them. As long as it runs elsewhere, the job is not at fault.
         """
         return bool(job.done) or any(
             placement.running_since is not None
--- a/bayford/coordination/leader/task_reconciliation.py
+++ b/bayford/coordination/leader/task_reconciliation.py
@@ -1,4 +1,4 @@
-"""What heartbeats say of single tasks, taken into the leader's state."""
+"""Updates placements and jobs in the leader's state from the task states in heartbeats."""
 
 import logging
 
@@ -10,12 +10,15 @@
 
 log = logging.getLogger(__name__)
 
-# A task has ended with one of these and neither it nor its machine has failed.
+# Reasons for the end of a task that are a failure neither of the task nor of its machine.
 BLAMELESS_REASONS = (workers.STOPPED, workers.PEER_LOST, workers.GANG_INCOMPLETE, workers.DONE)
 
 
 class TaskReconciliation:
-    """Makes placements follow the status of their tasks. Called under the lock of the leader's state."""
+    """Reconciles placements with the reported states of their tasks.
+
+    Callers must hold the lock of the leader's state.
+    """
 
     def __init__(self, state: LeaderState, health: MachineHealth) -> None:
         self._state = state
@@ -24,7 +27,7 @@
     def reconcile(
         self, machine: Machine, placement: Placement, status: workers.TaskState, now: float
     ) -> None:
-        """The machine's heartbeat gives this status of a task that is placed there."""
+        """Apply the state of a placed task, as reported in a heartbeat of its machine."""
         placement.started = True
         if status.phase == workers.FETCHING:
             machine.images.setdefault(placement.job.image, False)
@@ -36,30 +39,33 @@
 
     def _on_running(self, machine: Machine, placement: Placement, now: float) -> None:
         if placement.running_since is None:
-            placement.running_since = now - self._ran_before(placement)
+            placement.running_since = now - self._assumed_run_s(placement)
             self._state.use_image(machine, placement.job, there=True)
             if placement.job.is_service and placement.placed_here:
                 self._log_replica_running(machine, placement, now)
         elif (
             placement.job.is_service and now - MIN_HEALTHY_RUN_S > placement.running_since > machine.failed_at
         ):
-            # Where services run nothing is ever done: that a replica runs is what speaks for the machine.
+            # Services have no completed tasks, so a steadily running replica is the evidence that the machine
+            # works.
             machine.failed_jobs.clear()
 
-    def _ran_before(self, placement: Placement) -> float:
-        """For how many seconds a task that is first seen running has run.
+    def _assumed_run_s(self, placement: Placement) -> float:
+        """Return the assumed run time so far, in seconds, of a task that is first seen running.
 
-        For one that an earlier leader placed that is unknown; half of what it is expected to take is assumed.
-        Counted from the failover it would seem to have hardly begun, and seem cheap to preempt.
+        The start of a task that an earlier leader placed is unknown, so half of its expected run time is
+        assumed. If its run were counted from the failover, the task would appear to have just started, and
+        therefore cheap to preempt.
         """
         if placement.placed_here or placement.job.is_service:
             return 0.0
         return 0.5 * self._state.expected(placement.job)
 
     def _log_replica_running(self, machine: Machine, placement: Placement, now: float) -> None:
-        """Log for how long a replica was down, and what that was made up of."""
+        """Log the downtime of a replica and the parts it consists of."""
         job = placement.job
-        # An earlier leader may have seen it running: the time since this term began is all that is known.
+        # An earlier leader may have seen the replica running, so without a record only the time since this
+        # term began is known.
         down = job.down_since.pop(
             placement.task, Downtime(max(job.created, self._state.leader_since), unnoticed_s=0.0)
         )
@@ -88,15 +94,15 @@
         else:
             job.requeue(placement.task)
         if job.spec.shape == GANG:
-            # With one of its tasks gone the gang can't go on: stop the others, so that all start together.
+            # A gang cannot continue without one of its tasks: stop the others, so that all start together.
             for other in job.open.values():
                 if not other.stopping:
                     self._state.stop(other, job.spec.checkpoint_grace_s)
         if status.reason not in BLAMELESS_REASONS:
-            self._failures.on_not_run(machine, placement, status.reason, now)
+            self._failures.on_failed_or_refused(machine, placement, status.reason, now)
 
     def _on_done(self, machine: Machine, placement: Placement, now: float) -> None:
-        """A task has completed."""
+        """Record the completion of a task."""
         job = placement.job
         job.done.add(placement.task)
         self._state.events.on_task_done(placement)
@@ -104,9 +110,9 @@
         machine.completed_tasks += 1
         machine.failed_jobs.clear()
         if placement.running_since is not None and placement.placed_here:
-            # Runs that were counted from a failover once taught the estimator that everything ends within
-            # seconds: the backlog seemed to be nothing, so too little was launched and nothing was preempted
-            # for urgent work.
+            # Run times counted from a failover must not be observed: the estimator would learn that tasks end
+            # within seconds. The backlog would then appear empty, so that too few machines are launched and
+            # nothing is preempted for urgent jobs.
             self._state.run_times.observe(job.job_class, job.spec.estimate_s, now - placement.running_since)
         if job.finished:
             log.info("job done: job=%s duration_s=%.1f", job.spec.id, now - job.created)
--- a/bayford/coordination/leader/worker_commands.py
+++ b/bayford/coordination/leader/worker_commands.py
@@ -1,4 +1,4 @@
-"""What the leader commands workers to do: in the answers to heartbeats, and by direct stops."""
+"""Commands from the leader to workers: in the answers to heartbeats, and as direct stop commands."""
 
 from typing import NamedTuple
 
@@ -6,18 +6,18 @@
 from bayford.protocol import workers
 from bayford.scheduling.model import EPS, AttemptKey, Machine
 
-IDLE_HOLD_SHARE = 0.75  # of the heartbeat interval: no heartbeat of an idle machine is held for longer
+IDLE_HOLD_SHARE = 0.75  # maximum hold of an idle machine's heartbeat, as a share of the heartbeat interval
 
 
 class PendingCommands(NamedTuple):
-    """What to answer a heartbeat with."""
+    """The commands with which to answer a heartbeat."""
 
     commands: list[workers.Command]
-    gated: bool  # whether starts wait until this controller is verified to be the leader
+    gated: bool  # whether further starts wait until this controller is verified as the leader
 
 
 class DirectCommands(NamedTuple):
-    """Stops that are worth a request of their own to a worker."""
+    """Stop commands that are sent to a worker in a request of their own."""
 
     address: str
     epoch: int
@@ -25,25 +25,25 @@
 
 
 class WorkerCommands:
-    """Lists commands from the leader's state, whose lock the public methods take by themselves."""
+    """Derives commands from the leader's state. The public methods take the lock of the state themselves."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
 
     def commands_for(self, index: int, arrival: float) -> PendingCommands:
-        """What to answer the machine's heartbeat that came at `arrival` (steady clock)."""
+        """Return the commands that answer the machine's heartbeat received at `arrival` (steady clock)."""
         with self._state.lock:
             machine = self._state.machines.get(index)
             if machine is None or not self._state.leader:
                 return PendingCommands([], False)
-            seen = self._state.seen[index]
-            commands = self._stops_and_reaps(machine, seen)
-            gated = self._add_starts(commands, machine, seen, arrival)
+            phases = self._state.seen[index]
+            commands = self._list_stops_and_reaps(machine, phases)
+            gated = self._add_starts(commands, machine, phases, arrival)
             return PendingCommands(commands, gated)
 
-    def _stops_and_reaps(self, machine: Machine, seen: dict[AttemptKey, str]) -> list[workers.Command]:
+    def _list_stops_and_reaps(self, machine: Machine, phases: dict[AttemptKey, str]) -> list[workers.Command]:
         commands: list[workers.Command] = []
-        for key, phase in seen.items():
+        for key, phase in phases.items():
             placement = machine.open.get(key)
             task_id, attempt = key
             if phase == workers.ENDED:
@@ -57,16 +57,16 @@
         return commands
 
     def _add_starts(
-        self, commands: list[workers.Command], machine: Machine, seen: dict[AttemptKey, str], arrival: float
+        self, commands: list[workers.Command], machine: Machine, phases: dict[AttemptKey, str], arrival: float
     ) -> bool:
-        """Add the starts that may go out; whether others have to wait for the gate.
+        """Append the starts that may be sent, and return whether others have to wait for the gate.
 
-        The gate: a start goes out only if this controller was verifiably the leader at some moment after the
-        heartbeat arrived, and the placement is durable and still open now.
+        The gate: a start is sent only if this controller was the verified leader at some time after the
+        heartbeat arrived, and the placement is durable and still open.
         """
         gated = False
         for key, placement in machine.open.items():
-            if key in seen or not placement.durable or placement.epoch != machine.epoch:
+            if key in phases or not placement.durable or placement.epoch != machine.epoch:
                 continue
             if placement.job.cancelled:
                 continue
@@ -78,10 +78,10 @@
         return gated
 
     def stop_commands_for(self, index: int, cancelled_alone: bool = False) -> DirectCommands | None:
-        """The stops that are worth a direct command to this machine now, None if there are none; with
-        `cancelled_alone` those of cancelled jobs, which are right whoever leads.
+        """Return the stops to send to this machine in a direct command, or None if there are none.
 
-        Only stops go that way: a copy that comes late stops an attempt that was to stop anyway.
+        With `cancelled_alone` only the stops of cancelled jobs, which are correct whichever controller leads.
+        Only stops are sent directly: a copy that arrives late stops an attempt that had to stop anyway.
         """
         with self._state.lock:
             machine = self._state.machines.get(index)
@@ -98,10 +98,11 @@
             return DirectCommands(machine.address, machine.epoch, stop_commands) if stop_commands else None
 
     def hold_s(self, index: int) -> float:
-        """For how many seconds it pays to hold this machine's heartbeat, waiting for work to answer it with.
+        """Return the number of seconds for which to hold this machine's heartbeat until there is work to
+        answer it with.
 
-        A worker's lease counts from the sending of its heartbeat, and it drops answers after 4 s, so a short
-        wait costs nothing but a later report of tasks that end meanwhile.
+        A worker's lease counts from the time at which it sent the heartbeat, and it drops answers that arrive
+        after 4 s. Within that time a short hold has one cost: tasks that end meanwhile are reported later.
         """
         policy = self._state.policy
         with self._state.lock:
