--- a/bayford/coordination/leader/__init__.py
+++ b/bayford/coordination/leader/__init__.py
@@ -1,5 +1,5 @@
-"""What the leader decides, and the state that it decides on.
+"""The leader's decisions and the state on which they are based.
 
-`leader_state` owns jobs, machines and team quotas for one leadership term, behind one lock. The other modules
-are parts that read and change that state; nothing outside this package writes it.
+`leader_state` holds the jobs, machines and team quotas of one leadership term, guarded by one lock. The other
+modules read and change this state; code outside this package does not modify it.
 """
--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -1,6 +1,7 @@
-"""Migrations of running tasks that free the room which a waiting task needs (docs/design.md).
+"""The balancer: migrates running tasks to free the room that a waiting task needs (docs/design.md).
 
-The trials are those of `scheduling.tempered`; this shows them the fleet and carries the best plan out.
+`scheduling.tempered` runs the trials of the algorithm; this module gives them the state of the fleet and
+executes the best plan.
 """
 
 import logging
@@ -16,27 +17,27 @@
 
 
 def job_and_task(key: AttemptKey) -> tuple[str, int]:
-    """The job's id and the task's number in it."""
+    """Return the job id and the task number of an attempt."""
     return workers.split_task(key[0]) or ("", 0)
 
 
 class Balancer:
-    """The paper's balancer. Called under the lock of the leader's state."""
+    """The balancer of the paper. The caller must hold the lock of the leader's state."""
 
     def __init__(self, state: LeaderState, migrator: Migrator) -> None:
         self._state = state
         self._migrator = migrator
 
     def free_room(self, queue: list[Job], now: float) -> None:
-        """Move running tasks off a machine to free the room that a waiting task needs there, when it fits on
-        no machine. Migrations are stops with a hint where to go on."""
+        """Migrate running tasks off a machine to free room for a waiting task that fits on no machine. A
+        migration is a stop with a hint that names the target machine."""
         state = self._state
         if state.stopping or state.uncounted_migrations:
-            return  # room is being made already
-        waiting = self._startable(queue, now)
+            return  # earlier stops or migrations are still in progress and will free room
+        waiting = self._startable_jobs(queue, now)
         if not waiting:
             return
-        # Room that is being made for a job, or that a worker just refused, is not there for others.
+        # Machines reserved for a job, and machines in back-off after a refused start, are not usable.
         usable = [
             machine
             for machine in state.machines.values()
@@ -52,15 +53,17 @@
         hosts: dict[int, tempered.Host] = {}
         for job in waiting[: state.policy.balance_jobs]:
             if free_cpus + EPS < job.spec.cpus:
-                continue  # a migration shifts room and makes none: so much is not left in the whole fleet
-            hosts = hosts or {machine.index: self._host(machine) for machine in self.known(usable)}
+                continue  # migrations do not add capacity, and the whole fleet has too few free CPUs
+            hosts = hosts or {
+                machine.index: self._build_host(machine) for machine in self.sample_machines(usable)
+            }
             plan = self._plan(job, max_moves, usable, hosts, now)
             if plan is not None:
                 self._carry_out(plan, job, now)
-                return  # the hosts have changed
+                return  # `hosts` is out of date after the plan
 
-    def _startable(self, queue: list[Job], now: float) -> list[Job]:
-        """The jobs of which a single task could start if there were room."""
+    def _startable_jobs(self, queue: list[Job], now: float) -> list[Job]:
+        """Return the jobs of which a single task could start if a machine had room for it."""
         return [
             job
             for job in queue
@@ -71,11 +74,11 @@
         ]
 
     def _carry_out(self, plan: tempered.Plan, job: Job, now: float) -> None:
-        """Begin the plan's migrations. The room is kept for the job: else a task moved away may be first in
-        the queue and come straight back."""
+        """Begin the plan's migrations. The source machine is reserved for the job; otherwise a migrated task
+        that precedes the job in the queue could be placed back on it."""
         source = self._state.machines[plan.source]
         placements = [source.open[move.key] for move in plan.moves]
-        self._migrator.keep_room(source.index, job, placements)
+        self._migrator.reserve_machine(source.index, job, placements)
         self._migrator.move(
             [
                 Migration(placement, move.target, now)
@@ -98,29 +101,30 @@
         zone_counts = placement_rules.placements_by_zone(job, state.zone_of)
         allowed_machines = placement_rules.candidates(job, usable, zone_counts, now)
         if any(machine.has_room(spec) for machine in allowed_machines):
-            return None  # it fits as it is and is about to be placed
+            return None  # a task fits without migrations and will be placed in a coming round
         state.balance_tried += 1
         demand = (spec.cpus, spec.gpus, spec.mem_gb)
         counts = tempered.Counts(state.policy.balance_trials, state.policy.balance_iterations, max_moves)
 
         def allowed(key: AttemptKey, target: int) -> bool:
-            # A service is not interrupted for work that may wait: only for another of its rank or above.
+            # A service is not interrupted for work of lower priority, which can wait.
             moved = state.jobs[job_and_task(key)[0]]
             if moved.is_service and spec.priority < moved.spec.priority:
                 return False
-            return self.may_move(key, target)
+            return self.can_move(key, target)
 
         best: tempered.Plan | None = None
-        for source in self._sources(job, demand, allowed_machines, hosts):
+        for source in self._find_sources(job, demand, allowed_machines, hosts):
             plan = tempered.free_room(list(hosts.values()), source, demand, counts, allowed, state.rng)
             if plan is not None and (best is None or plan.imbalance < best.imbalance):
                 best = plan
         return best
 
-    def _sources(
+    def _find_sources(
         self, job: Job, demand: tempered.Resources, machines: list[Machine], hosts: dict[int, tempered.Host]
     ) -> list[int]:
-        """The machines where migrations may free the room, those that lack the fewest CPUs first."""
+        """Return the machines where migrations could free enough room, at most `balance_sources`, those that
+        lack the fewest CPUs first."""
         ranked = []
         for machine in machines:
             host = hosts.get(machine.index)
@@ -133,13 +137,14 @@
                 ranked.append((job.spec.cpus - machine.free_cpus, machine.index))
         return [index for _, index in sorted(ranked)[: self._state.policy.balance_sources]]
 
-    def known(self, usable: list[Machine]) -> list[Machine]:
-        """The machines that this round draws from. As the paper's ranks know some of the others (§IV-B), a
-        round knows a random part of a large fleet, so that its cost does not grow with it."""
+    def sample_machines(self, usable: list[Machine]) -> list[Machine]:
+        """Return the machines that a balancing round considers: in a large fleet a random sample of
+        `balance_machines`, so that the cost of a round does not grow with the fleet. This corresponds to the
+        partial knowledge that a rank has of other ranks in the paper (§IV-B)."""
         size = self._state.policy.balance_machines
         return usable if len(usable) <= size else self._state.rng.sample(usable, size)
 
-    def _host(self, machine: Machine) -> tempered.Host:
+    def _build_host(self, machine: Machine) -> tempered.Host:
         items = []
         for placement in machine.open.values():
             spec = placement.job.spec
@@ -149,8 +154,9 @@
         free = (machine.free_cpus, machine.free_gpus, machine.free_mem)
         return tempered.Host(machine.index, machine.cpus, free, items)
 
-    def may_move(self, key: AttemptKey, target: int) -> bool:
-        """Whether the task's job allows the machine `target`, the task itself gone from where it is."""
+    def can_move(self, key: AttemptKey, target: int) -> bool:
+        """Return whether the task may be migrated to the machine `target` under the rules of its job. The
+        zone rules are evaluated without the task's current placement."""
         state = self._state
         job_id, task = job_and_task(key)
         job, machine = state.jobs[job_id], state.machines[target]
@@ -160,7 +166,7 @@
             zone_counts[zone] -= 1
             if not zone_counts[zone]:
                 del zone_counts[zone]
-        if job.is_service and not self._may_move_replica(job, machine):
+        if job.is_service and not self._can_move_replica(job, machine):
             return False
         return (
             machine.zone is not None
@@ -171,9 +177,10 @@
             and placement_rules.zone_allowed(job, machine.zone, zone_counts)
         )
 
-    def _may_move_replica(self, job: Job, machine: Machine) -> bool:
-        """A migration is a gap in the service: to a machine that has the image and no replica, one of a job
-        at a time, and only while all its others run."""
+    def _can_move_replica(self, job: Job, machine: Machine) -> bool:
+        """Return whether a replica may be migrated to the machine. A migration interrupts the replica, so the
+        target must hold the image and no replica of the service, and all replicas must be running and none
+        stopping; this also limits migrations to one replica of a service at a time."""
         return (
             bool(machine.images.get(job.image))
             and not job.waiting
--- a/bayford/coordination/leader/commit_batch.py
+++ b/bayford/coordination/leader/commit_batch.py
@@ -1,4 +1,4 @@
-"""What one transaction of the group commit carries."""
+"""The contents of one transaction of the group commit."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Migration:
-    """A running task that is to go on elsewhere, once it is durable that it has been migrated once more."""
+    """A decision to migrate a running task. It begins after the task's increased migration count is
+    durable."""
 
     placement: Placement
     target: int  # index of the machine
@@ -17,13 +18,14 @@
 
 @dataclass(slots=True)
 class CommitBatch:
-    """One transaction of the group commit and what it makes durable. Jobs are named by their ids."""
+    """One transaction of the group commit and the decisions that it makes durable. Jobs are identified by
+    their ids."""
 
-    term: int  # of the leader that made it
-    conditions: dict[str, int]  # key -> the version that it must still have
+    term: int  # leadership term in which the batch was built
+    conditions: dict[str, int]  # key -> version that the key must have for the transaction to be applied
     puts: list[Put] = field(default_factory=list)
-    tasks: dict[str, set[int]] = field(default_factory=dict)  # by job: tasks whose state is written
-    placements: list[Placement] = field(default_factory=list)  # those that may start once it is durable
-    over: list[str] = field(default_factory=list)  # jobs that it closes
-    migrations: dict[str, list[Migration]] = field(default_factory=dict)  # by job; may begin once durable
-    dropped_counts: list[str] = field(default_factory=list)  # jobs whose counts of migrations are deleted
+    tasks: dict[str, set[int]] = field(default_factory=dict)  # job -> tasks whose state is written
+    placements: list[Placement] = field(default_factory=list)  # they may start once it is durable
+    over: list[str] = field(default_factory=list)  # jobs that the batch closes
+    migrations: dict[str, list[Migration]] = field(default_factory=dict)  # job -> migrations to begin
+    deleted_counts: list[str] = field(default_factory=list)  # jobs whose migration counts are deleted
--- a/bayford/coordination/leader/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -1,4 +1,5 @@
-"""The group commit: what of the leader's decisions is written next, and what follows when it is durable."""
+"""The group commit: selects which of the leader's decisions to write next and applies the outcome of each
+write."""
 
 import logging
 
@@ -12,23 +13,27 @@
 
 log = logging.getLogger(__name__)
 
-# Rows of a transaction. The key-value store takes 64 KiB; the rest is for records beside the rows.
+# Limit for all rows of one transaction together. The key-value store accepts 64 KiB per transaction; the rest
+# is left for job records and migration counts.
 MAX_ROWS_BYTES = 48 * 1024
 
 
 class GroupCommit:
-    """Transactions of one leader's term, one at a time. Takes the lock of the leader's state by itself."""
+    """Builds the transactions of a leadership term, one at a time. The methods acquire the lock of the
+    leader's state unless stated otherwise."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
 
     def take_batch(self, ops: int) -> CommitBatch | None:
-        """The next transaction: rows of the task log with what has changed, urgent work first, and the
-        records of jobs that are complete, within `ops` changes and the size limit.
-
-        Conditional on the leadership record, so that a leader which was replaced writes nothing; on the slots
-        that the rows take, so that a transaction which was given up on and comes late can't be applied beside
-        what came after it; and on the records, so that no cancellation is overwritten.
+        """Return the next transaction, or None if there is nothing to write or a transaction is in flight. It
+        has rows of the task log with the changed tasks, urgent work first, and the records of completed jobs,
+        within `ops` changes and the size limit.
+
+        It has three kinds of conditions. The leadership record must be unchanged, so that a replaced leader
+        writes nothing. The slots that the rows use must be unchanged, so that a transaction that timed out
+        and arrives late can't be applied in addition to a later one. The job records must be unchanged, so
+        that no cancellation is overwritten.
         """
         with self._state.lock:
             if (
@@ -38,17 +43,19 @@
                 or self._state.in_flight is not None
             ):
                 return None
-            assert self._state.task_log is not None, "the scheduler is connected before it leads"
+            assert self._state.task_log is not None, (
+                "task log not set: Scheduler.connect was not called"
+            )
             self._state.in_flight = self._state.task_log.with_task_log(
                 lambda task_log: BatchMaker(self._state, task_log, ops).make()
             )
             return self._state.in_flight
 
     def committed(self, batch: CommitBatch) -> None:
-        """The batch is durable: its placements may start, its jobs may be reported done."""
+        """Handle a batch that is durable: its placements may start and its jobs may be reported done."""
         with self._state.lock:
             if not self._state.leader or batch.term != self._state.term:
-                return  # it belongs to an earlier term, and says nothing of this term's jobs
+                return  # a batch of an earlier term does not affect the jobs of this term
             self._state.in_flight = None
             machines_to_wake = set()
             for placement in batch.placements:
@@ -63,11 +70,13 @@
                 self._state.events.on_migrations_counted(migrations)
 
     def not_committed(self, batch: CommitBatch) -> None:
-        """Refused, conflicting or unanswered: everything in it is to be written again.
+        """Handle a batch that was refused, conflicted or got no response: queue its changes to be written
+        again.
 
-        After no answer the transaction may still be applied; then the next one conflicts at the slot, and
-        once that row is read the next goes after it. It says the same things once more, which does no harm.
-        Until one of the transactions is known to have been applied, its placements stay open and unstarted.
+        A transaction without a response may still be applied. In that case the next transaction conflicts at
+        the slot, and after that row has been read the following one is written after it. Its rows repeat
+        changes that are already written, which is idempotent. Until one of the transactions is known to have
+        been applied, the placements stay open and are not started.
         """
         with self._state.lock:
             if batch.term != self._state.term:
@@ -82,25 +91,27 @@
             for job_id, migrations in batch.migrations.items():
                 if job_id in self._state.jobs:
                     self._state.uncounted_migrations.setdefault(job_id, []).extend(migrations)
-            self._state.obsolete_counts.update(dict.fromkeys(batch.dropped_counts))
+            self._state.obsolete_counts.update(dict.fromkeys(batch.deleted_counts))
 
     def has_pending_writes(self) -> bool:
-        """Whether something waits to be written. May be called without the lock, as a hint."""
+        """Return whether any change has not yet been put into a batch. Does not take the lock; without the
+        lock the result is only a hint."""
         return bool(self._state.dirty or self._state.pending_completions or self._state.uncounted_migrations)
 
     def pending_completion_count(self) -> int:
-        """How many jobs wait to be reported done, or closed."""
+        """Return the number of jobs whose completion or closing has not yet been put into a batch. Does not
+        take the lock."""
         return len(self._state.pending_completions)
 
 
 class BatchMaker:
-    """Makes one batch out of the leader's state, under its lock, and removes what is in it from what waits.
+    """Builds one batch from the leader's state and removes the batched changes from the pending ones.
 
-    Used for one batch and dropped.
+    Used for a single batch. The caller must hold the lock of the leader's state.
     """
 
     def __init__(self, state: LeaderState, task_log: TaskLog, ops: int) -> None:
-        """`ops`: how many changes there may be."""
+        """`ops`: maximum number of changes in the transaction."""
         self._state = state
         self._task_log = task_log
         self._ops = ops
@@ -110,7 +121,8 @@
         self._rows = [self._new_row(0)]
 
     def make(self) -> CommitBatch:
-        """The batch: urgent work first, then jobs that are over, then counts of migrations."""
+        """Build the batch: changed tasks, those of urgent jobs first; then completed and closed jobs; then
+        migration counts."""
         state = self._state
         job_ids = [j for j in state.dirty if state.jobs[j].spec.priority >= URGENT]
         job_ids += [j for j in state.dirty if state.jobs[j].spec.priority < URGENT]
@@ -123,18 +135,18 @@
         return self._batch
 
     def _new_row(self, offset: int) -> RowBuilder:
-        """The row that goes so many slots after the next free one."""
+        """Return a builder for the row whose number is `offset` after the next row number."""
         task_log = self._task_log
         return RowBuilder(
             task_log, task_log.next + offset, self._tail, self._state.next_attempt, self._row_bytes
         )
 
     def _ops_left(self) -> int:
-        """How many more changes there may be."""
+        """Return how many more changes fit into the transaction."""
         return self._ops - len(self._rows) - len(self._batch.puts)
 
     def _add_tasks(self, job_id: str) -> None:
-        """The tasks of a job that have changed, as many as fit."""
+        """Add the changed tasks of a job to the rows, as many as fit."""
         state = self._state
         job = state.jobs[job_id]
         max_rows = max(1, min(self._ops, MAX_ROWS_BYTES // self._row_bytes))
@@ -159,8 +171,8 @@
             self._batch.tasks[job_id] = taken
 
     def _add_completions(self) -> None:
-        """Jobs that are over, all of whose changes are in this batch or before it; urgent ones first, since
-        in a flood of small jobs this queue is long."""
+        """Add the completed and closed jobs whose task changes are all in this batch or already written.
+        Urgent jobs come first, because this queue is long when many small jobs complete."""
         state = self._state
         for job_id in sorted(
             state.pending_completions, key=lambda job_id: state.jobs[job_id].spec.priority < URGENT
@@ -169,7 +181,7 @@
             if self._ops_left() <= 0 or not self._rows[-1].has_space(job_id):
                 break
             if state.dirty.get(job_id, set()) - self._batch.tasks.get(job_id, set()):
-                continue  # some of its changes did not fit: it is closed after they are written
+                continue  # some of its task changes did not fit; the job is closed in a later batch
             if not job.cancelled and not self._add_final_record(job_id, job):
                 del state.pending_completions[job_id]
                 continue
@@ -177,11 +189,12 @@
             self._batch.over.append(job_id)
 
     def _add_final_record(self, job_id: str, job: Job) -> bool:
-        """The record that says that the job is done; False if no value can hold it."""
+        """Add the job's final record, which marks it as done. Return False if the record exceeds the size
+        limit of a value."""
         final = records.Record(job.spec, job.created_wall, 0.0, True, len(job.done))
         value = records.fitted(final, self._row_bytes)
         if records.size(value) > self._row_bytes:
-            # Every transaction that it is part of would be refused, and no job's work would go on.
+            # Any transaction with this record would be refused, which would block the commits of all jobs.
             log.error(
                 "job record too large, completion not written: job=%s max_bytes=%d", job_id, self._row_bytes
             )
@@ -191,14 +204,14 @@
         return True
 
     def _add_migration_counts(self) -> None:
-        """The counts of migrations that are to begin, and deletions of those that are needed no more."""
+        """Add the migration counts of jobs with migrations to begin, and the deletions of obsolete counts."""
         state = self._state
         for job_id in list(state.uncounted_migrations)[: max(0, self._ops_left())]:
             self._batch.migrations[job_id] = state.uncounted_migrations.pop(job_id)
             self._batch.puts.append(Put(records.migration_counts_key(job_id), state.restarts.encode(job_id)))
         for job_id in list(state.obsolete_counts)[: max(0, self._ops_left())]:
             del state.obsolete_counts[job_id]
-            self._batch.dropped_counts.append(job_id)
+            self._batch.deleted_counts.append(job_id)
             self._batch.puts.append(Put(records.migration_counts_key(job_id), None))
 
     def _finish_rows(self) -> None:
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -1,7 +1,7 @@
-"""Load spread in the leader's rounds: tasks are placed by cost, and running ones leave overloaded machines.
+"""Load spread in the scheduling rounds: places tasks by cost and migrates tasks off overloaded machines.
 
-The decisions are those of the `spread` package; this shows them the fleet and carries them out. Its log lines
-and settings are described in docs/load-spread.md.
+The `spread` package makes the decisions; this module gives it the state of the fleet and executes the
+decisions. The log lines and settings are described in docs/load-spread.md.
 """
 
 import logging
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-MIN_GAIN = 2.0  # a task is moved only if it has this many times longer to run than the migration takes
+MIN_GAIN = 2.0  # minimum ratio of a task's remaining run time to the cost of its migration
 
 
 class LoadSpreader:
-    """Placement and rebalancing by load. Called under the lock of the leader's state."""
+    """Placement and rebalancing by load. The caller must hold the lock of the leader's state."""
 
     def __init__(self, state: LeaderState, balancer: Balancer, migrator: Migrator) -> None:
         self._state = state
@@ -31,15 +31,15 @@
         self._migrator = migrator
         policy = state.policy
         self._weights = Weights(policy.spread_fetch_weight, policy.spread_load_s, policy.spread_affinity_s)
-        self._logged_unknown_types: set[int] = set()  # machines
+        self._logged_unknown_types: set[int] = set()  # indexes of machines already logged
 
     # -- placement -------------------------------------------------------------------------------------
 
-    def chooser(self, job: Job, count: int, may_take: Callable[[Machine], bool]) -> Chooser:
-        """A chooser for up to `count` tasks of the job."""
+    def chooser(self, job: Job, count: int, can_take: Callable[[Machine], bool]) -> Chooser:
+        """Return a chooser of machines for up to `count` tasks of the job."""
         state = self._state
         size = max(count, state.policy.spread_candidates)
-        candidates = state.capacity_index.least_loaded(job, size, may_take)
+        candidates = state.capacity_index.least_loaded(job, size, can_take)
         return Chooser(
             job,
             candidates,
@@ -49,7 +49,7 @@
         )
 
     def _average_load(self) -> float:
-        """Reserved share of the fleet's CPUs."""
+        """Return the reserved share of the fleet's CPUs, 0 to 1."""
         cpus = free_cpus = 0.0
         for machine in self._state.machines.values():
             if machine.type is not None and not machine.deleting:
@@ -58,8 +58,8 @@
         return 1.0 - free_cpus / cpus if cpus > 0 else 0.0
 
     def log_choices(self, job: Job, choices: list[Choice], had_image: dict[int, bool]) -> None:
-        """Log why these machines were chosen, at debug level for each task. `had_image`: by machine, whether
-        it held the image before."""
+        """Log why these machines were chosen: a summary, and at debug level the cost of each choice.
+        `had_image`: by machine index, whether the machine held the image before the placements."""
         if not choices:
             return
         log.info("placed by cost: job=%s %s", job.spec.id, describe(choices, had_image))
@@ -78,10 +78,11 @@
     # -- rebalancing -----------------------------------------------------------------------------------
 
     def step(self, work_waits: bool, now: float) -> None:
-        """Move running tasks off machines far above the average, if that lowers the highest load.
+        """Migrate running tasks off machines whose load is far above the average, if this lowers the highest
+        load.
 
-        Migrations that free room for waiting work come first: nothing is moved while work waits for room, or
-        while stops are under way.
+        Migrations that free room for waiting work take precedence: nothing is migrated while work waits for
+        room or while stops are in progress.
         """
         state = self._state
         policy = state.policy
@@ -90,22 +91,23 @@
         state.spread_at = now + policy.spread_every_s
         if work_waits or state.stopping or state.uncounted_migrations:
             return
-        known = {snapshot.index: snapshot for snapshot in self._known(now)}
-        hosts = [self._host(snapshot, now) for snapshot in known.values()]
+        snapshots = {snapshot.index: snapshot for snapshot in self._sample_snapshots(now)}
+        hosts = [self._build_host(snapshot, now) for snapshot in snapshots.values()]
         running = sum(len(job.open) for job in state.jobs.values())
         counts = tempered.Counts(
             policy.balance_trials, policy.balance_iterations, tempered.budget(running, policy.balance_share)
         )
 
         def allowed(key: AttemptKey, target: int) -> bool:
-            return self._allowed(key, target, now)
+            return self._can_migrate(key, target, now)
 
         plan = rebalance(hosts, policy.spread_threshold, counts, allowed, state.rng)
         if plan is not None:
-            self._carry_out(plan, known, now)
+            self._carry_out(plan, snapshots, now)
 
-    def _known(self, now: float) -> list[MachineSnapshot]:
-        """The machines between which this round moves work: responsive ones, by facts that are not old."""
+    def _sample_snapshots(self, now: float) -> list[MachineSnapshot]:
+        """Return snapshots of the machines between which this round may migrate tasks: responsive machines
+        whose last heartbeat is recent."""
         state = self._state
         accepting = []
         for machine in state.machines.values():
@@ -113,26 +115,27 @@
                 self._log_unknown_type(machine)
             elif machine.reserved_until <= now and snapshot_of(machine, now).accepts(state.quiet_s):
                 accepting.append(machine)
-        return [snapshot_of(machine, now) for machine in self._balancer.known(accepting)]
+        return [snapshot_of(machine, now) for machine in self._balancer.sample_machines(accepting)]
 
     def _log_unknown_type(self, machine: Machine) -> None:
         if machine.index not in self._logged_unknown_types:
             self._logged_unknown_types.add(machine.index)
             log.error("machine type not in the catalog, no migrations there: machine=%s", machine.name)
 
-    def _host(self, snapshot: MachineSnapshot, now: float) -> tempered.Host:
+    def _build_host(self, snapshot: MachineSnapshot, now: float) -> tempered.Host:
         items = [
             tempered.Item(
                 placement.key, (placement.job.spec.cpus, placement.job.spec.gpus, placement.job.spec.mem_gb)
             )
             for placement in self._state.machines[snapshot.index].open.values()
-            if self._movable(placement, now)
+            if self._is_movable(placement, now)
         ]
         return tempered.Host(snapshot.index, snapshot.cpus, snapshot.free, items)
 
-    def _movable(self, placement: Placement, now: float) -> bool:
-        """Whether the task may be moved for balance alone: no service, no part of a gang; nothing that would
-        lose its work unless its class allows that; nothing that came lately, as a task just moved did."""
+    def _is_movable(self, placement: Placement, now: float) -> bool:
+        """Return whether the task may be migrated only to balance load. Excluded are services, gangs, tasks
+        that would lose their work unless their class allows it, and tasks that started running on the machine
+        less than `spread_rest_s` ago, such as tasks just migrated."""
         job = placement.job
         spec = job.spec
         policy = self._state.policy
@@ -147,8 +150,9 @@
             return False
         return now - placement.running_since >= policy.spread_rest_s
 
-    def _allowed(self, key: AttemptKey, target: int, now: float) -> bool:
-        """Whether the task may go to the target, and has long enough to run that it pays."""
+    def _can_migrate(self, key: AttemptKey, target: int, now: float) -> bool:
+        """Return whether the task may be migrated to the target and its remaining run time is long enough to
+        justify the migration."""
         state = self._state
         job_id, task = job_and_task(key)
         job = state.jobs[job_id]
@@ -159,12 +163,13 @@
         left_s = state.expected(job) - ran_s
         fetch_s = 0.0 if machine.images.get(job.image) else state.fetch_s(job, machine)
         lost_s = 0.0 if job.spec.checkpoint_interval_s > 0 else ran_s
-        pays = left_s > MIN_GAIN * (job.spec.checkpoint_save_s + fetch_s + lost_s)
-        return pays and self._balancer.may_move(key, target)
+        is_worthwhile = left_s > MIN_GAIN * (job.spec.checkpoint_save_s + fetch_s + lost_s)
+        return is_worthwhile and self._balancer.can_move(key, target)
 
-    def _carry_out(self, plan: Rebalancing, known: dict[int, MachineSnapshot], now: float) -> None:
-        """Begin the plan's migrations. A target is reserved for one job, so that no other takes the room
-        while the task saves; migrations of a second job there are left to the next round."""
+    def _carry_out(self, plan: Rebalancing, snapshots: dict[int, MachineSnapshot], now: float) -> None:
+        """Begin the plan's migrations. Each target is reserved for one job, so that no other job takes the
+        room while the tasks save their checkpoints; migrations of other jobs to that target are left to a
+        later round."""
         state = self._state
         by_target: dict[int, list[Migration]] = {}
         for relocation in plan.relocations:
@@ -173,15 +178,15 @@
             if not migrations or migrations[0].placement.job is placement.job:
                 migrations.append(Migration(placement, relocation.target, now))
         for target, migrations in by_target.items():
-            self._migrator.keep_room(
+            self._migrator.reserve_machine(
                 target, migrations[0].placement.job, [migration.placement for migration in migrations]
             )
             for migration in migrations:
-                self._log_migration(migration, plan, known)
+                self._log_migration(migration, plan, snapshots)
             self._migrator.move(migrations)
 
     def _log_migration(
-        self, migration: Migration, plan: Rebalancing, known: dict[int, MachineSnapshot]
+        self, migration: Migration, plan: Rebalancing, snapshots: dict[int, MachineSnapshot]
     ) -> None:
         state = self._state
         job = migration.placement.job
@@ -191,9 +196,9 @@
             "restart=%d max_restarts=%d",
             migration.placement.task_id,
             state.machine_names[migration.placement.machine],
-            known[migration.placement.machine].describe(),
+            snapshots[migration.placement.machine].describe(),
             state.machine_names[migration.target],
-            known[migration.target].describe(),
+            snapshots[migration.target].describe(),
             plan.before,
             plan.after,
             used + 1,
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -1,7 +1,7 @@
-"""Migrations of running tasks: stops with a hint where to go on.
+"""Migrations of running tasks: each is a stop with a hint that names the target machine.
 
-With load spread on, a migration is counted against the restart budget of its task's class before the task is
-stopped, and the count is durable first, so that no leader after this one allows more.
+With load spread enabled, a migration counts against the restart budget of the task's class. The count is made
+durable before the task is stopped, so that later leaders respect the budget too.
 """
 
 import logging
@@ -15,24 +15,24 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DECISION_AGE_S = 5.0  # a migration whose count became durable later is not begun: the fleet has changed
+MAX_DECISION_AGE_S = 5.0  # older migration decisions are dropped: the fleet may have changed since
 
 
 class Migrator(LeaderListener):
-    """Begins migrations. Called under the lock of the leader's state."""
+    """Begins migrations. The caller must hold the lock of the leader's state."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
         state.events.subscribe(self)
 
     def allows(self, job: Job, task: int) -> bool:
-        """Whether the task may be restarted by a migration once more."""
+        """Return whether the restart budget allows one more migration of the task."""
         return not self._state.policy.spread or self._state.restarts.allows(
             job.spec.id, job.spec.job_class, task
         )
 
     def move(self, migrations: Sequence[Migration]) -> None:
-        """Have tasks go on elsewhere, at once or when their counts are durable."""
+        """Begin migrations: at once, or with load spread enabled when their counts are durable."""
         state = self._state
         if not state.policy.spread:
             self.begin(migrations)
@@ -47,19 +47,19 @@
         self.begin(migrations)
 
     def begin(self, migrations: Sequence[Migration]) -> None:
-        """Stop the tasks, as far as the migrations still make sense."""
+        """Stop the tasks of those migrations that are still possible."""
         for migration in migrations:
-            obstacle = self._obstacle(migration)
-            if obstacle:
-                log.info("migration dropped: task=%s reason=%s", migration.placement.task_id, obstacle)
+            reason = self._rejection_reason(migration)
+            if reason:
+                log.info("migration dropped: task=%s reason=%s", migration.placement.task_id, reason)
                 continue
             job = migration.placement.job
             job.hints[migration.placement.task] = migration.target
             self._state.stop(migration.placement, preemption.stop_grace_s(job.spec))
             self._state.moves += 1
 
-    def _obstacle(self, migration: Migration) -> str:
-        """Why the migration can't begin any more, empty if it can."""
+    def _rejection_reason(self, migration: Migration) -> str:
+        """Return the reason why the migration can no longer begin, or an empty string if it can."""
         state = self._state
         placement = migration.placement
         if placement.job.open.get(placement.task) is not placement:
@@ -73,8 +73,8 @@
             return "its restart count took too long to be written"
         return ""
 
-    def keep_room(self, index: int, job: Job, moved: Sequence[Placement]) -> None:
-        """Reserve the machine for a job while these tasks save their progress."""
+    def reserve_machine(self, index: int, job: Job, moved: Sequence[Placement]) -> None:
+        """Reserve the machine for a job until the migrated tasks have had time to save their checkpoints."""
         machine = self._state.machines[index]
         save_s = max((placement.job.spec.checkpoint_save_s for placement in moved), default=0.0)
         machine.reserved_for, machine.reserved_until = job.spec.id, self._state.clock() + ROOM_KEPT_S + save_s
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -1,6 +1,6 @@
-"""Preemption: stops that make room for waiting work, on the machines and under the limits of the teams.
+"""Preemption: stops running tasks to make room for waiting work, on machines and under team limits.
 
-Which tasks PROTOCOL lets be preempted, and what that loses, is decided in `scheduling.preemption`.
+`scheduling.preemption` decides which tasks may be preempted under PROTOCOL and computes the work lost.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 
 log = logging.getLogger(__name__)
 
-SEARCH_PERIOD_S = 0.25  # victims are looked for on all machines, so not in every round
-JOBS_PER_SEARCH = 4  # jobs that room is made for at a time
-MAX_STOPS_PER_MACHINE = 4  # tasks stopped on one machine for one task
+SEARCH_PERIOD_S = 0.25  # a search looks at many machines: too costly to run in every round
+JOBS_PER_SEARCH = 4  # maximum number of preempting jobs per search
+MAX_STOPS_PER_MACHINE = 4  # maximum number of victims on one machine for one waiting task
 
 
 @dataclass(slots=True)
 class _Search:
-    """One search for victims, for several jobs."""
+    """The state of one search for victims, shared by several preempting jobs."""
 
     now: float
-    quotas: list[TeamQuota]  # as they will be once the stops under way are through
+    quotas: list[TeamQuota]  # copies, with the capacity of stopping tasks already released
     machines: list[Machine]
-    preemptions_left: int  # how many more there may be
-    losses: dict[Placement, float] = field(default_factory=dict)  # what each stop would cost
+    preemptions_left: int  # stops that this search may still request
+    losses: dict[Placement, float] = field(default_factory=dict)  # cache: cost of stopping each task
 
 
 @dataclass(frozen=True, slots=True)
 class _PreemptingJob:
-    """A waiting job that may preempt others."""
+    """A waiting job that may preempt other work."""
 
     job: Job
-    tasks: int  # that need room
-    unmet_guarantee: int  # of these, within the team's guarantee
+    tasks: int  # number of tasks to make room for
+    unmet_guarantee: int  # number of those tasks that are within the team's unmet guarantee
 
 
 class _TeamVictim(NamedTuple):
-    """A task that may be stopped for a service of its own team, and its rank: the smallest is stopped
-    first."""
+    """A task that may be stopped for a service of its own team. Victims are stopped in ascending order of
+    `rank`."""
 
     rank: tuple[bool, int, float, tuple[str, int]]
     placement: Placement
@@ -56,12 +56,13 @@
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
-        self._searches = 0  # so far: each begins elsewhere in a large fleet
+        self._searches = 0  # number of searches so far, selects each search's window of a large fleet
 
     # -- room on the machines --------------------------------------------------------------------------
 
     def make_room(self, queue: list[Job], now: float) -> None:
-        """Stop the tasks that lose least, for waiting work that PROTOCOL lets preempt them."""
+        """Stop the running tasks with the least cost to make room for waiting work that may preempt them
+        under PROTOCOL."""
         state = self._state
         if now < state.preempt_at:
             return
@@ -70,21 +71,22 @@
             return
         state.preempt_at = now + SEARCH_PERIOD_S
         search = self._begin_search(now)
-        # What tasks release by themselves in a moment needs no stops.
+        # Capacity that tasks are expected to release by finishing within `preempt_wait_s` needs no stops.
         released_cpus = state.policy.preempt_wait_s * self._cpus_released_per_s()
         for entry in preempting:
             job, tasks = entry.job, entry.tasks
             if now - job.created < 2.0 * state.policy.preempt_wait_s and not job.is_service:
-                served = min(tasks, int(released_cpus / max(job.spec.cpus, 0.1)))
-                released_cpus -= served * job.spec.cpus
-                tasks -= served
+                placeable = min(tasks, int(released_cpus / max(job.spec.cpus, 0.1)))
+                released_cpus -= placeable * job.spec.cpus
+                tasks -= placeable
             if tasks > 0:
                 self._preempt_for(job, tasks, entry.unmet_guarantee, search)
 
     def _preempting_jobs(self, queue: list[Job], now: float) -> list[_PreemptingJob]:
-        """The jobs whose waiting work may preempt other work, and for how many tasks."""
+        """Return the first jobs in the queue whose waiting work may preempt other work, at most
+        `JOBS_PER_SEARCH`, with the number of tasks to make room for."""
         state = self._state
-        reserved: dict[str, int] = {}  # machines by the job that they are reserved for
+        reserved: dict[str, int] = {}  # job id -> number of machines reserved for the job
         for machine in state.machines.values():
             if machine.reserved_until > now:
                 reserved[machine.reserved_for] = reserved.get(machine.reserved_for, 0) + 1
@@ -98,7 +100,7 @@
             if job.is_service or now - job.created > state.policy.guarantee_wait_s:
                 unmet_guarantee = quota.unmet_guarantee(job.spec)
             if job.spec.priority < URGENT:
-                # Room is taken back for the guarantee alone, not for what would be borrowed on top.
+                # Only unmet guarantees preempt; tasks beyond the guarantee use borrowed capacity and wait.
                 tasks = min(tasks, unmet_guarantee)
             tasks -= reserved.get(job.spec.id, 0)
             if tasks > 0:
@@ -120,13 +122,13 @@
             and machine.zone not in state.closed_zones
         ]
         running = sum(len(job.open) for job in state.jobs.values())
-        # A fleet several times as large releases several times as much in the same time.
+        # The number of stops scales with the fleet, as does the capacity that running tasks release.
         preemptions_left = max(state.policy.preempt_per_round, int(state.policy.preempt_share * running))
         self._searches += 1
         return _Search(now, quotas, machines, preemptions_left)
 
     def _cpus_released_per_s(self) -> float:
-        """CPUs that running tasks release in a second, as long as they are expected to last."""
+        """Return the CPUs released per second by finishing tasks, estimated from their expected run times."""
         state = self._state
         return sum(
             len(job.open) * job.spec.cpus / max(1.0, state.expected(job))
@@ -135,18 +137,19 @@
         )
 
     def _preempt_for(self, job: Job, tasks: int, unmet_guarantee: int, search: _Search) -> None:
-        """Stop what makes room for `tasks` tasks of the job, of which `unmet_guarantee` lie within its
-        guarantee."""
+        """Stop running tasks to make room for up to `tasks` tasks of the job. `unmet_guarantee`: the number
+        of those tasks that are within its team's unmet guarantee."""
         state = self._state
-        for option in self._options(job, search, unmet_guarantee > 0):
+        for option in self._find_options(job, search, unmet_guarantee > 0):
             if tasks <= 0 or search.preemptions_left <= 0:
                 break
             victims = option.victims
             if any(victim.placement.stopping for victim in victims):
-                continue  # the machine has been taken for a job before this one
+                continue  # an earlier job in this search already uses this machine
             if not all(preemption.may_stop(job, v.job, search.quotas, unmet_guarantee > 0) for v in victims):
                 continue
-            # Else smaller tasks would take what is free there already, and the stop was for nothing.
+            # Without the reservation, smaller tasks would take the capacity that is already free there, and
+            # the stops would not make enough room.
             machine = state.machines[option.machine]
             machine.reserved_for, machine.reserved_until = job.spec.id, search.now + ROOM_KEPT_S
             unmet_guarantee -= 1
@@ -163,22 +166,23 @@
                 [victim.placement.task_id for victim in victims],
             )
 
-    def _options(
+    def _find_options(
         self, waiting: Job, search: _Search, unmet_guarantee: bool
     ) -> list[preemption.PreemptionOption]:
-        """The stops that would make room for one task, machine by machine, the least costly first."""
+        """Return, for each searched machine where it is possible, the stops that make room for one task;
+        cheapest first."""
         state = self._state
         now = search.now
         zone_counts = placement_rules.placements_by_zone(waiting, state.zone_of)
         max_silence_s = state.quiet_s
-        skip_ending = waiting.spec.priority < URGENT  # let tasks that end soon do so
+        skip_ending = waiting.spec.priority < URGENT  # non-urgent work does not stop tasks that end soon
         options: list[preemption.PreemptionOption] = []
         candidates = placement_rules.candidates(waiting, search.machines, zone_counts, now)
-        for machine in self._window(candidates):
+        for machine in self._search_window(candidates):
             if waiting.is_service and not placement_rules.is_stable(machine, now, max_silence_s):
                 continue
             victims = [
-                preemption.Victim(placement.job, placement, self._loss(placement, search))
+                preemption.Victim(placement.job, placement, self._stop_cost(placement, search))
                 for placement in machine.open.values()
                 if not placement.unpreemptable
                 and preemption.may_stop(waiting, placement.job, search.quotas, unmet_guarantee)
@@ -188,13 +192,14 @@
                 continue
             option = preemption.victims_on(machine, waiting, victims, MAX_STOPS_PER_MACHINE)
             if option is not None:
-                option.cost = self._cost_on(machine, waiting, option.cost)
+                option.cost = self._placement_cost(machine, waiting, option.cost)
                 options.append(option)
         options.sort(key=lambda option: (option.cost, option.machine))
         return options
 
-    def _window(self, machines: list[Machine]) -> list[Machine]:
-        """As many machines as one search may look at; the next search goes on where this one ends."""
+    def _search_window(self, machines: list[Machine]) -> list[Machine]:
+        """Return the machines that this search looks at, at most `preempt_machines`; successive searches take
+        successive windows of the fleet."""
         size = self._state.policy.preempt_machines
         if len(machines) <= size:
             return machines
@@ -202,8 +207,9 @@
         begin = self._searches % windows * size
         return machines[begin : begin + size]
 
-    def _loss(self, placement: Placement, search: _Search) -> float:
-        """What stopping a task costs, the same for whichever job it makes room."""
+    def _stop_cost(self, placement: Placement, search: _Search) -> float:
+        """Return the cost of stopping a task, in seconds. It does not depend on the waiting job, so it is
+        cached for the search."""
         loss = search.losses.get(placement)
         if loss is None:
             state = self._state
@@ -216,19 +222,21 @@
         return loss
 
     def _ends_soon(self, placement: Placement, now: float) -> bool:
-        """Whether a task releases its room by itself soon; stopping it would waste its work."""
+        """Return whether a task is expected to finish soon, in which case stopping it would waste its
+        work."""
         ran_s = 0.0 if placement.running_since is None else now - placement.running_since
         return self._state.expected(placement.job) - ran_s < self._state.policy.guarantee_wait_s / 2
 
-    def _cost_on(self, machine: Machine, waiting: Job, loss: float) -> float:
-        """What it costs to have the waiting task on this machine, `loss` of it for the stops there."""
+    def _placement_cost(self, machine: Machine, waiting: Job, loss: float) -> float:
+        """Return the total cost of placing the waiting task on this machine. `loss`: the cost of the stops
+        there."""
         state = self._state
         cost = loss
         if not machine.images.get(waiting.image) and machine.type is not None:
-            # The waiting task would first fetch its image there.
+            # The waiting task would first have to fetch its image on this machine.
             cost += state.fetch_s(waiting, machine) * waiting.spec.cpus * state.policy.fetch_weight
         if waiting.is_service:
-            # A loss should take few replicas of a job.
+            # Spread the replicas, so that the loss of one machine affects few of them.
             replicas = sum(placement.job is waiting for placement in machine.open.values())
             cost += state.policy.spread_s * replicas * waiting.spec.cpus * state.policy.fetch_weight
         return cost
@@ -236,8 +244,8 @@
     # -- room under the teams' limits ------------------------------------------------------------------
 
     def make_room_under_limits(self, now: float) -> None:
-        """Let services start that their team's limit holds back while the team runs work of lower
-        priority."""
+        """Preempt lower-priority work of the same team for services that can't start because of the team's
+        limit."""
         state = self._state
         for job in state.jobs.values():
             if job.is_service and job.waiting and not job.cancelled and job.not_before <= now:
@@ -246,8 +254,8 @@
                     self._preempt_own_team(job, lacking, now)
 
     def _preempt_own_team(self, service: Job, replicas: int, now: float) -> None:
-        """Stop work of the same team and of lower priority until so many more replicas fit under the team's
-        limit. What stops already counts."""
+        """Stop lower-priority tasks of the service's team until `replicas` more replicas fit under the team's
+        limit. Tasks that are already stopping count as released."""
         cpus, gpus = replicas * service.spec.cpus, replicas * service.spec.gpus
         victims = []
         for job in self._state.jobs.values():
@@ -257,7 +265,7 @@
                 if placement.stopping:
                     cpus, gpus = cpus - job.spec.cpus, gpus - job.spec.gpus
                 else:
-                    victims.append(self._team_victim(service, placement, now))
+                    victims.append(self._rank_team_victim(service, placement, now))
         stopped = 0
         for victim in sorted(victims, key=lambda victim: victim.rank):
             if stopped >= self._state.policy.preempt_per_round or (cpus <= EPS and gpus <= EPS):
@@ -270,10 +278,11 @@
         if stopped:
             log.info("preempting under the team's limit: job=%s victims=%d", service.spec.id, stopped)
 
-    def _team_victim(self, service: Job, placement: Placement, now: float) -> _TeamVictim:
-        """First goes what runs where a replica may go, of that what loses least."""
+    def _rank_team_victim(self, service: Job, placement: Placement, now: float) -> _TeamVictim:
+        """Rank a running task as a victim: tasks on machines that a replica may use rank first, then tasks of
+        lower priority, then those that lose the least work."""
         job = placement.job
         machine = self._state.machines[placement.machine]
         loss = preemption.lost_work(job, placement, now, self._state.expected(job))
-        replica_may_go = placement_rules.type_allowed(service, machine) and machine.usable
-        return _TeamVictim((not replica_may_go, job.spec.priority, loss, placement.key), placement)
+        replica_allowed = placement_rules.type_allowed(service, machine) and machine.usable
+        return _TeamVictim((not replica_allowed, job.spec.priority, loss, placement.key), placement)
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -1,14 +1,15 @@
-"""The scheduler of one controller: all decisions over its jobs and machines, in memory, without I/O.
-
-A facade over parts that share one `LeaderState` and its one short lock: `job_records` (jobs as the store has
-them), `heartbeats` and `commands` (what workers send and are answered), `scheduling` (placement, preemption,
-the balancer), `commits` (what is written), `autoscaler` (machines) and `zone_monitor`. No part calls another,
-but for the autoscaler, which is given the order of service.
-
-Threads of `controller` carry the results out: the group commit writes what `take_batch` hands over, the cloud
-threads do what `scaling_step` asks, and answers to heartbeats carry what `commands_for` lists. The safety
-argument is in docs/safety-argument.md; the rules that it rests on are stated where the code keeps them. Every
-method may be called from any thread, without the lock.
+"""The scheduler of one controller: all decisions about its jobs and machines, in memory, without I/O.
+
+`Scheduler` is a facade over components that share one `LeaderState` and its lock, which is held only briefly:
+`job_records` (jobs as recorded in the key-value store), `heartbeats` and `commands` (worker requests and the
+responses to them), `scheduling` (placement, preemption, the balancer), `commits` (batches of writes),
+`autoscaler` (machines) and `zone_monitor`. The components do not call each other, except that the autoscaler
+reads the scheduling queue's order of service.
+
+Threads of `controller` execute the decisions: the group commit writes the batches that `take_batch` returns,
+the cloud threads perform the actions that `scaling_step` returns, and heartbeat responses carry the commands
+that `commands_for` returns. The safety argument is in docs/safety-argument.md; the rules that it relies on
+are documented at the code that enforces them. Every method may be called from any thread, without the lock.
 """
 
 import random
@@ -53,7 +54,7 @@
         wall: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """`clock` is the steady clock, `wall` the time of day, both in seconds."""
+        """`clock` returns steady-clock time and `wall` the time of day, both in seconds."""
         self.state = LeaderState(settings, policy, clock, wall, rng)
         self.job_records = JobRecords(self.state)
         self.heartbeats = HeartbeatHandler(self.state)
@@ -64,13 +65,13 @@
         self.zone_monitor = ZoneMonitor(self.state)
 
     def connect(self, task_log: TaskLogSource, *listeners: LeaderListener) -> None:
-        """Give the scheduler its task log, and subscribe listeners to its events. Called once, before any
+        """Set the task log and subscribe listeners to the scheduler's events. Must be called once, before any
         thread starts."""
         self.state.task_log = task_log
         for listener in listeners:
             self.state.events.subscribe(listener)
 
-    # The leadership term.
+    # Leadership term.
 
     @property
     def policy(self) -> Policy:
@@ -79,17 +80,17 @@
 
     @property
     def limits(self) -> StoreLimits:
-        """What the key-value store takes."""
+        """The size and rate limits of the key-value store."""
         return self.state.limits
 
     @property
     def leader(self) -> bool:
-        """Whether this controller is the leader, as far as it knows."""
+        """Whether this controller considers itself the leader; another may have replaced it since."""
         return self.state.leader
 
     @property
     def complete(self) -> bool:
-        """Whether everything has been rebuilt from the records."""
+        """Whether the state has been fully rebuilt from the records in the key-value store."""
         return self.state.complete
 
     @property
@@ -99,77 +100,80 @@
 
     @property
     def leader_since(self) -> float:
-        """When the term began, on the steady clock."""
+        """Start of the leadership term, in steady-clock seconds."""
         return self.state.leader_since
 
     @property
     def verified_at(self) -> float:
-        """When the last read that showed the leadership record of this term was sent, on the steady clock."""
+        """When the latest read that returned the leadership record of this term was sent, in steady-clock
+        seconds."""
         return self.state.verified_at
 
     def recover(self, recovered: RecoveredState) -> None:
-        """Become leader: rebuild everything from the records."""
+        """Become leader and rebuild the state from the recovered records."""
         self.job_records.recover(recovered)
 
     def step_down(self) -> None:
-        """No longer leader: drop every decision."""
+        """Stop being leader and discard all scheduling state."""
         self.state.step_down()
 
     def verified(self, as_of: float, term: int) -> None:
-        """A read sent at `as_of` showed the leadership record of this term, and all cancellations till then
-        are known."""
+        """Record that a read sent at `as_of` (steady clock) returned the leadership record of `term`, and
+        that all cancellations up to then have been applied."""
         self.state.verified(as_of, term)
 
     def staleness_limit(self) -> float:
-        """How old, in seconds, a controller's view may be for it to answer heartbeats."""
+        """Return the maximum age, in seconds, of the view from which a controller may answer heartbeats."""
         return self.state.staleness_limit()
 
     # Jobs.
 
     def reconcile_job(self, record: records.Record, version: int) -> None:
-        """A job's record changed in the store."""
+        """Apply a changed job record from the key-value store."""
         self.job_records.reconcile_job(record, version)
 
     def on_cancelled(self, cancelled: Mapping[str, float]) -> None:
-        """Another controller has confirmed the cancellations of these jobs, at these times of day."""
+        """Apply job cancellations that another controller confirmed. `cancelled`: job id -> time of day,
+        seconds."""
         self.job_records.on_cancelled(cancelled)
 
     def team_quota(self, team: str) -> TeamQuota | None:
-        """The guarantee and limit of a team, None for an unknown one."""
+        """Return the guarantee and limit of a team, or None if the team is unknown."""
         return self.state.team_quota(team)
 
     def workload_facts(self) -> WorkloadFacts:
-        """What admission has to know of the accepted work."""
+        """Return the facts about accepted work that admission control uses."""
         return workload.gather(self.state)
 
     # Scheduling rounds and the group commit.
 
     def round(self) -> None:
-        """Place what waits, then preempt for what may preempt."""
+        """Run one scheduling round: place waiting tasks, then preempt for work that is allowed to preempt."""
         self.scheduling.round()
 
     def waiting(self) -> list[str]:
-        """Log lines: the oldest waiting jobs and why they wait."""
+        """Return log lines that list the longest-waiting jobs and the reason why each one waits."""
         return self.scheduling.waiting()
 
     def has_pending_writes(self) -> bool:
-        """Whether something waits to be written."""
+        """Return whether any change has not yet been put into a batch."""
         return self.commits.has_pending_writes()
 
     def pending_completion_count(self) -> int:
-        """How many jobs wait to be reported done, or closed."""
+        """Return the number of jobs whose completion or closing has not yet been put into a batch."""
         return self.commits.pending_completion_count()
 
     def take_batch(self, ops: int) -> CommitBatch | None:
-        """The next transaction, of at most `ops` changes; None if there is none or one is in flight."""
+        """Return the next transaction, of at most `ops` changes; None if there is nothing to write or a
+        transaction is in flight."""
         return self.commits.take_batch(ops)
 
     def committed(self, batch: CommitBatch) -> None:
-        """The batch is durable."""
+        """Handle a batch that is durable."""
         self.commits.committed(batch)
 
     def not_committed(self, batch: CommitBatch) -> None:
-        """The batch was refused, conflicting or not answered."""
+        """Handle a batch that was refused, conflicted or got no response."""
         self.commits.not_committed(batch)
 
     # Workers.
@@ -177,89 +181,93 @@
     def on_heartbeat(
         self, heartbeat: workers.Heartbeat, after: float = NEVER, relay: str = "", asked: bool = False
     ) -> int | None:
-        """Take a heartbeat in; its machine's index, or None if it must not be answered. See
+        """Process a heartbeat; return its machine's index, or None if it must not be answered. See
         `HeartbeatHandler.on_heartbeat` for the arguments."""
         return self.heartbeats.on_heartbeat(heartbeat, after, relay, asked)
 
     def on_answered(self, index: int, heartbeat: workers.Heartbeat, commands: list[workers.Command]) -> None:
-        """A heartbeat of the machine was answered with these commands."""
+        """Handle the response to a heartbeat of the machine having been sent with these commands."""
         self.heartbeats.on_answered(index, heartbeat, commands)
 
     def worker_contact(self, since: float) -> WorkerContact:
-        """How many machines sent a heartbeat after `since`, directly and through each relay."""
+        """Return the number of machines that sent a heartbeat after `since`, directly and through each
+        relay."""
         return self.heartbeats.worker_contact(since)
 
     def commands_for(self, index: int, arrival: float) -> PendingCommands:
-        """What to answer the machine's heartbeat that came at `arrival`."""
+        """Return the commands for the response to the machine's heartbeat that arrived at `arrival`."""
         return self.commands.commands_for(index, arrival)
 
     def stop_commands_for(self, index: int, cancelled_alone: bool = False) -> DirectCommands | None:
-        """The stops to send to the machine directly now, None if there are none."""
+        """Return the stop commands to send directly to the machine now, or None if there are none."""
         return self.commands.stop_commands_for(index, cancelled_alone)
 
     def hold_s(self, index: int) -> float:
-        """For how many seconds the machine's heartbeat may be held for work to answer it with."""
+        """Return how many seconds the response to the machine's heartbeat may be delayed until there are
+        commands to send in it."""
         return self.commands.hold_s(index)
 
     # Machines and zones.
 
     @property
     def types(self) -> list[MachineType]:
-        """The machine types known so far."""
+        """The machine types; empty until the first catalog has been read."""
         return self.state.types
 
     def set_types(self, types: list[MachineType]) -> None:
-        """Take in the cloud's catalog."""
+        """Set the machine types from the cloud's catalog."""
         self.state.set_types(types)
 
     def catalog(self) -> list[MachineType]:
-        """The types that the cloud has, empty before the first catalog."""
+        """Return the cloud's machine types, empty until the first catalog has been read."""
         return self.state.catalog()
 
     def summary(self) -> list[tuple[str, float, list[str]]]:
-        """Name, share of CPUs in use and images of each machine, for the other controllers."""
+        """Return the name, share of CPUs in use and images of each machine, for the other controllers."""
         return self.state.summary()
 
     def on_list(self, listed: Iterable[Listed], began: float) -> None:
-        """The cloud's list of machines, asked for at `began`."""
+        """Process the cloud's list of machines. `began`: when the list was requested."""
         self.autoscaler.on_list(listed, began)
 
     def scaling_step(self, listening: float) -> ScalingActions:
-        """What to launch and delete now. No machine counts as silent before `listening`."""
+        """Return the machines to launch and delete now. No machine is treated as unresponsive before
+        `listening` (steady clock)."""
         return self.autoscaler.scaling_step(listening)
 
     def overdue(self) -> set[str]:
-        """Names of machines to delete even where no controller can be verified to be the leader."""
+        """Return the names of machines to delete even if no controller can be verified as the leader."""
         return self.autoscaler.overdue()
 
     def overdue_step(self) -> ScalingActions:
-        """The deletions of `overdue` machines."""
+        """Return the deletions of `overdue` machines."""
         return self.autoscaler.overdue_step()
 
     def on_launched(self, request: LaunchRequest, names: list[str], at: float) -> None:
-        """A launch request sent at `at` gave these machines, fewer than asked for or none."""
+        """Handle the result of a launch request sent at `at`: the names of the new machines, which may be
+        fewer than requested, or none."""
         self.autoscaler.on_launched(request, names, at)
 
     def on_launch_failed(self, request: LaunchRequest) -> None:
-        """The launch request was not sent after all; the cloud has refused nothing."""
+        """Handle a launch request that was never sent, so that it does not count as refused by the cloud."""
         self.autoscaler.on_launch_failed(request)
 
     def deleted(self, names: Iterable[str]) -> None:
-        """The cloud has confirmed that these machines, and everything on them, are gone."""
+        """Handle the cloud's confirmation that these machines, and all tasks on them, no longer exist."""
         self.autoscaler.deleted(names)
 
     def not_deleted(self, names: Iterable[str]) -> None:
-        """The deletion of these machines was not confirmed: they may be gone or not."""
+        """Handle unconfirmed deletions: these machines may or may not still exist."""
         self.autoscaler.not_deleted(names)
 
     def monitor_zones(self, leader: LeadershipFacts, controllers: Mapping[str, str]) -> list[Put]:
-        """Take the state of the zones in; the records to write now. `controllers`: by zone, a description of
-        the controllers there that are in reach."""
+        """Update the states of the zones and return the zone records to write now. `controllers`: by zone, a
+        description of its reachable controllers."""
         with self.state.lock:
             self.zone_monitor.update(leader, controllers)
             return self.zone_monitor.puts()
 
     def zones_not_written(self, puts: list[Put]) -> None:
-        """These records of zones were refused, or their transaction was not answered."""
+        """Handle zone records whose transaction was refused or got no response."""
         with self.state.lock:
             self.zone_monitor.not_written(puts)
--- a/bayford/coordination/leader/scheduling_queue.py
+++ b/bayford/coordination/leader/scheduling_queue.py
@@ -1,4 +1,4 @@
-"""The order in which waiting jobs are served."""
+"""The order in which waiting jobs are scheduled."""
 
 import math
 from dataclasses import dataclass
@@ -9,31 +9,33 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueEntry:
-    """A job's position in the order of service; the smallest `order` is served first."""
+    """A job's position in the order of service. Entries are served in ascending order of `order`."""
 
     order: tuple[float, ...]
     job: Job
-    count: int  # how many of its tasks may be placed at this position
+    count: int  # maximum number of its tasks to place at this position
 
 
 class SchedulingQueue:
-    """The order of service. Called under the lock of the leader's state."""
+    """Computes the order of service. The caller must hold the lock of the leader's state."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
 
     def in_order(self, now: float, with_turns: bool = True) -> list[QueueEntry]:
-        """Jobs with waiting tasks in the order of service; without `with_turns` starved jobs get no turn.
-
-        Urgent work first; then jobs that lie within their team's guarantee, then work of teams that use less
-        than theirs, then the rest; in each by priority; among equals the job with the least work left, so
-        that many finish soon, with waiting time as the other weight, and after those the ones of classes
-        without an objective, the longest tasks first.
-
-        That order alone could keep a large array of low priority waiting for as long as others come. So
-        before all of them goes, for a small share of its tasks, each job of which nothing was started for
-        `turn_s`. What starts on a turn is not preempted. A job thus starts `turn_share` of its tasks at least
-        every `turn_s` and the time until capacity is next released.
+        """Return the jobs with waiting tasks in the order of service. If `with_turns` is false, starved jobs
+        get no turns.
+
+        Urgent jobs come first, then jobs within their team's guarantee, then other jobs of teams that use
+        less than their guarantee, then the rest. Each of these groups is ordered by priority. Among jobs of
+        equal priority, those with a deadline or a completion target come first, ordered by remaining work
+        weighted against waiting time, so that many jobs finish early. Jobs without either follow, the longest
+        tasks first.
+
+        With this order alone, a large low-priority array could starve while other jobs keep arriving. So each
+        job that has started no task for `turn_s` gets a turn: a small share of its tasks is served before
+        everything else, and the tasks started on a turn are not preempted. A job therefore starts at least
+        `turn_share` of its tasks every `turn_s`, plus the time until capacity is next released.
         """
         entries: list[QueueEntry] = []
         within_guarantee = self.jobs_within_guarantee()
@@ -57,10 +59,10 @@
         return entries
 
     def _count_within_limit(self, job: Job) -> int:
-        """How many waiting tasks of the job its team's limit lets start now."""
+        """Return how many waiting tasks of the job may start now under its team's limit."""
         headroom = self._state.quotas[job.team].headroom(job.spec)
         if job.spec.shape == GANG and (job.open or headroom < len(job.waiting)):
-            return 0  # all tasks of a gang start at once or none does
+            return 0  # the tasks of a gang start all together or not at all
         return min(headroom, len(job.waiting))
 
     def _urgent_entry(self, job: Job, count: int, now: float) -> QueueEntry:
@@ -69,28 +71,29 @@
     def _ordinary_entries(
         self, job: Job, count: int, within_guarantee: set[str], now: float
     ) -> list[QueueEntry]:
-        """A job that is not urgent: its usual position, before that one for tasks that its team's guarantee
-        has covered for long."""
+        """Return the entries of a job that is not urgent: its regular one and, if the job is older than
+        `guarantee_wait_s`, an earlier one for its tasks within the team's unmet guarantee."""
         entries = []
         policy = self._state.policy
-        age = now - job.created
+        age_s = now - job.created
         unmet_guarantee = min(count, self._state.quotas[job.team].unmet_guarantee(job.spec))
-        if unmet_guarantee and age > policy.guarantee_wait_s:
-            entries.append(QueueEntry((1.0, 0.0, 0.0, -age), job, unmet_guarantee))
+        if unmet_guarantee and age_s > policy.guarantee_wait_s:
+            entries.append(QueueEntry((1.0, 0.0, 0.0, -age_s), job, unmet_guarantee))
         guarantee_rank = 1.0
         if policy.guarantee_first and unmet_guarantee:
             guarantee_rank = 0.0 if job.spec.id in within_guarantee else 0.5
-        # Where there is no objective for single jobs, the longest tasks go first: started last, they would
-        # still run when all else is done.
-        without_objective = self._state.due_s(job) is None
-        rank = -self._state.expected(job) if without_objective else self._rank(job, now)
-        order = (2.0, guarantee_rank, -float(job.spec.priority), float(without_objective), rank)
+        # Without an objective for individual jobs, the longest tasks go first: if they started last, they
+        # would still be running when everything else has finished.
+        has_no_objective = self._state.due_s(job) is None
+        rank = -self._state.expected(job) if has_no_objective else self._rank(job, now)
+        order = (2.0, guarantee_rank, -float(job.spec.priority), float(has_no_objective), rank)
         entries.append(QueueEntry(order, job, count))
         return entries
 
     def jobs_within_guarantee(self) -> set[str]:
-        """The jobs that need not wait for other teams: each fits into its team's guarantee together with the
-        team's earlier unfinished jobs. Others of a team that uses less than that are served after them."""
+        """Return the ids of the jobs that need not wait for other teams: each fits into its team's guarantee
+        together with the team's earlier unfinished jobs. Other jobs of a team that uses less than its
+        guarantee are served after them."""
         unused = [(quota.cpus, quota.gpus) for quota in self._state.quotas]
         job_ids = set()
         for job in sorted(self._state.jobs.values(), key=lambda job: job.created):
@@ -102,21 +105,23 @@
         return job_ids
 
     def _rank(self, job: Job, now: float) -> float:
-        """Work left, shrinking with age: small jobs first, yet none is last for ever. Of services the one
-        that lacks the fewest replicas."""
-        age = now - job.created
+        """Return the job's remaining work, scaled down as the job ages, so that small jobs go first and no
+        job stays last forever. The remaining work of a service is its number of missing replicas."""
+        age_s = now - job.created
         if job.is_service:
-            return len(job.waiting) / (1.0 + age / self._state.policy.aging_s)
+            return len(job.waiting) / (1.0 + age_s / self._state.policy.aging_s)
         run_s = self._state.expected(job)
         work = (len(job.waiting) + 0.5 * len(job.open)) * run_s * max(job.spec.cpus, 0.1)
-        return work / (1.0 + age / self._state.policy.aging_s)
+        return work / (1.0 + age_s / self._state.policy.aging_s)
 
     def is_starved(self, job: Job, now: float) -> bool:
-        """Whether no task of the job has started for so long that it gets a turn before all other work."""
+        """Return whether no task of the job has been placed for longer than `turn_s`, so that the job gets a
+        turn before all other work."""
         return now - max(job.placed_at, job.created) > self._state.policy.turn_s
 
     def report(self, now: float, max_jobs: int) -> list[str]:
-        """For the log: the jobs that have waited longest and why they wait, and the state of the whole."""
+        """Return log lines: the longest-waiting jobs, at most `max_jobs`, with the reasons why they wait, and
+        totals of the scheduler."""
         state = self._state
         waiting = sorted((job for job in state.jobs.values() if job.waiting), key=lambda job: job.created)
         lines = []
--- a/bayford/coordination/leader/scheduling_round.py
+++ b/bayford/coordination/leader/scheduling_round.py
@@ -1,4 +1,5 @@
-"""The scheduling round: drain machines that the cloud takes, place what waits, preempt, balance."""
+"""The scheduling round: drains machines that the cloud is reclaiming, places waiting tasks, preempts and
+balances."""
 
 import dataclasses
 
@@ -12,11 +13,12 @@
 from bayford.recovery import return_order
 from bayford.scheduling.model import GANG, URGENT, Job, Machine
 
-IMAGE_COUNT_PERIOD_S = 2.0  # how often it is worked out which images are on many machines
+IMAGE_COUNT_PERIOD_S = 2.0  # between two computations of the images that are on many machines
 
 
 class SchedulingRound:
-    """One round over the queue of waiting work. The public methods take the lock of the leader's state."""
+    """Runs rounds over the queue of waiting work. The public methods acquire the lock of the leader's
+    state."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
@@ -28,7 +30,7 @@
         self._placer = TaskPlacer(state, self.queue, self.spreader)
 
     def round(self) -> None:
-        """Place what waits, then make room for work that may preempt other work."""
+        """Run one round: place waiting tasks, then make room for the rest by preemption and migration."""
         with self._state.lock:
             if not self._state.leader or not self._state.complete:
                 return
@@ -49,17 +51,20 @@
             self.spreader.step(any(job.waiting for job in waiting), now)
 
     def waiting(self, max_jobs: int = 5) -> list[str]:
-        """For the log: the jobs that have waited longest and why they wait, and the state of the whole."""
+        """Return log lines: the longest-waiting jobs, at most `max_jobs`, with the reasons why they wait, and
+        totals of the scheduler. Empty if this controller is not the leader."""
         with self._state.lock:
             if not self._state.leader:
                 return []
             return self.queue.report(self._state.clock(), max_jobs)
 
     def _place_all(self, queue: list[QueueEntry], now: float) -> None:
-        """Place the queue's tasks until no machine has room: the work of a round follows the free capacity.
+        """Place the queue's tasks until no machine has room, so that the cost of a round is proportional to
+        the free capacity.
 
-        In a backlog, room on a machine without a job's image is better left to a job whose image is there,
-        as long as the first finds its own on enough other machines: a fetch takes as long as many a task.
+        A job whose image is on enough machines is first placed only on machines that have the image. In a
+        backlog, this leaves room on the other machines to jobs whose images are there; fetching an image
+        takes as long as many tasks run.
         """
         if self._state.returning_zones:
             queue = self._place_returning(queue, now)
@@ -70,17 +75,17 @@
             if not self._state.capacity_index:
                 job.why_waiting = NO_ROOM
                 continue
-            # Where load is spread, the cost of a fetch is weighed against the load instead.
-            wait_for_image = (
+            # With load spread, the placement cost weighs the fetch against the load instead.
+            waits_for_image = (
                 not self._state.policy.spread
                 and job.image in common_images
                 and job.spec.priority < URGENT
                 and job.spec.shape != GANG
             )
             waiting_before = len(job.waiting)
-            self._placer.place(job, count, now, with_image_only=wait_for_image)
+            self._placer.place(job, count, now, with_image_only=waits_for_image)
             count -= waiting_before - len(job.waiting)
-            if wait_for_image and count > 0 and job.waiting:
+            if waits_for_image and count > 0 and job.waiting:
                 deferred.append((job, count))
         for job, count in deferred:
             if not self._state.capacity_index:
@@ -88,23 +93,28 @@
             self._placer.place(job, count, now)
 
     def _place_returning(self, queue: list[QueueEntry], now: float) -> list[QueueEntry]:
-        """Offer the room of zones that return in the operators' order; what is left of the queue.
+        """Place tasks in returning zones, job classes in the order that the operators configured. Return the
+        entries of the queue that still have tasks to place.
 
-        A class further down is offered what those above it leave. Each machine fetches one image at a time.
+        Each class gets the capacity that the classes before it leave. Each machine fetches one image at a
+        time.
         """
         return_ranks = self._state.policy.return_order
-        left = {}
+        unplaced = {}
         for entry in sorted(queue, key=lambda entry: return_order.rank(entry.job, return_ranks)):
             waiting_before = len(entry.job.waiting)
             if waiting_before and self._state.capacity_index:
                 self._placer.place(entry.job, entry.count, now, returning=True)
             placed = waiting_before - len(entry.job.waiting)
-            left[entry.order, entry.job.spec.id] = entry.count - placed
-        counted = [dataclasses.replace(entry, count=left[entry.order, entry.job.spec.id]) for entry in queue]
+            unplaced[entry.order, entry.job.spec.id] = entry.count - placed
+        counted = [
+            dataclasses.replace(entry, count=unplaced[entry.order, entry.job.spec.id]) for entry in queue
+        ]
         return [entry for entry in counted if entry.count > 0 and entry.job.waiting]
 
     def _common_images(self, now: float) -> frozenset[int]:
-        """Images that are on so many machines that a job may wait for room on one of them."""
+        """Return the images that are on more than `image_share` of the usable machines, so that jobs may wait
+        for room on one of these. Recomputed every `IMAGE_COUNT_PERIOD_S`."""
         if now - self._state.images_at > IMAGE_COUNT_PERIOD_S:
             self._state.images_at = now
             holders: dict[int, int] = {}
@@ -117,8 +127,8 @@
         return self._state.local_images
 
     def _drain(self, machine: Machine, now: float) -> None:
-        """The cloud has given notice that it takes the machine: have tasks save their progress while there
-        is time for it, and stop early those that can't finish."""
+        """Drain a machine that the cloud will reclaim: stop checkpointing tasks just in time to save a
+        checkpoint, and stop other tasks now if they can't finish before the reclaim."""
         left_s = (machine.reclaim_at or now) - now
         heartbeat_interval_s = self._state.settings.facts.workers.heartbeat_interval_s
         for placement in machine.open.values():
--- a/bayford/coordination/leader/summary_writer.py
+++ b/bayford/coordination/leader/summary_writer.py
@@ -1,4 +1,4 @@
-"""Writes a summary of the machines' load and images, for the leader after this one."""
+"""Writes a summary of the machines' load and images, for use by the next leader."""
 
 from collections.abc import Callable
 
@@ -10,11 +10,15 @@
 from bayford.storage.key_value_store import KeyValueStore, Put
 
 VALUE_GAP_S = 0.7  # between two values of one summary
-MIN_PERIOD_S = 1.0
+MIN_PERIOD_S = 1.0  # minimum time between two summaries
 
 
 class SummaryWriter:
-    """Run by one thread. Not conditional on the leadership record: a summary decides nothing."""
+    """Writes the summary periodically. `step` must be called by a single thread.
+
+    The writes are not conditional on the leadership record, because no decision relies on a summary for its
+    safety.
+    """
 
     def __init__(
         self,
@@ -26,7 +30,7 @@
         writes: TokenBucket,
         wall: Callable[[], float],
     ) -> None:
-        """`writes`: the leader's rate of changes."""
+        """`writes`: the token bucket of the leader's writes."""
         self._member = member
         self._scheduler = scheduler
         self._is_verified_leader = is_verified_leader
@@ -34,15 +38,15 @@
         self._limits = limits
         self._writes = writes
         self._wall = wall
-        self._key_count = 0  # keys that the last summary takes
-        self._pending: list[Put] = []  # values of the newest summary that have still to be written
+        self._key_count = 0  # number of keys of the last summary
+        self._pending: list[Put] = []  # values of the latest summary not yet written
 
     def step(self) -> float:
-        """Write the next value of the summary.
+        """Write the next value of the summary. Return the seconds to wait before the next call.
 
-        One value at a time, and a refused one is not written again: all values at once, retried again and
-        again on credit, once took the whole rate of writes, and no placement was committed for a minute
-        (docs/incidents/2026-12-summary-starves-commits.md).
+        Values are written one at a time, and a refused value is not retried. Writing all values at once, with
+        repeated retries that overdrew the token bucket, once consumed the whole write rate, and no placement
+        was committed for a minute (docs/incidents/2026-12-summary-starves-commits.md).
         """
         if not self._pending:
             self._begin_summary()
--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -1,4 +1,4 @@
-"""Puts waiting tasks of a job on machines, by the rules of `scheduling.placement_rules`."""
+"""Places a job's waiting tasks on machines under the rules of `scheduling.placement_rules`."""
 
 import logging
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class TaskPlacer:
-    """Placement of one job's tasks. Called under the lock of the leader's state."""
+    """Places the tasks of one job at a time. The caller must hold the lock of the leader's state."""
 
     def __init__(self, state: LeaderState, queue: SchedulingQueue, spreader: LoadSpreader) -> None:
         self._state = state
@@ -29,16 +29,20 @@
     def place(
         self, job: Job, count: int, now: float, with_image_only: bool = False, returning: bool = False
     ) -> None:
-        """Place up to `count` tasks; `with_image_only`: on machines that hold the image, or fetch it;
-        `returning`: on those of zones that return, else on those of all others."""
+        """Place up to `count` waiting tasks of the job; a gang is placed as a whole.
+
+        `with_image_only`: use only machines that hold the job's image or are fetching it. `returning`: use
+        only machines in returning zones; if false, only machines in other zones.
+        """
         by_zone = job.spec.one_zone or job.spec.spread
         if by_zone and any(self._state.zone_of(p.machine) is None for p in job.open.values()):
-            # After a failover there may be a machine with tasks of the job that has sent no heartbeat yet:
-            # its zone is unknown, so the zone rules can't be checked.
+            # After a failover, a machine that runs tasks of the job may not have sent a heartbeat yet. Its
+            # zone is unknown, so the zone rules can't be checked.
             job.why_waiting = "zone of a running task unknown"
             return
         zone_counts = placement_rules.placements_by_zone(job, self._state.zone_of) if by_zone else {}
-        # The spot machines alone are in time: let the on-demand ones run empty and go back.
+        # If spot machines alone can finish the work in time, keep it off on-demand machines, so that these
+        # become idle and are deleted.
         spot_only = (
             not self._state.on_demand_needed
             and job.spec.priority < URGENT
@@ -46,28 +50,28 @@
             and job.spot_hosts
         )
 
-        def open_to_job(machine: Machine) -> bool:
+        def is_allowed(machine: Machine) -> bool:
             return (
                 placement_rules.eligible(job, machine, zone_counts, now)
                 and (not spot_only or machine.spot or machine.index in self._state.service_machines)
-                and self._zone_open(job, machine, returning)
+                and self._is_zone_allowed(job, machine, returning)
             )
 
-        def may_take(machine: Machine) -> bool:
-            return open_to_job(machine) and (not with_image_only or job.image in machine.images)
+        def can_take(machine: Machine) -> bool:
+            return is_allowed(machine) and (not with_image_only or job.image in machine.images)
 
-        with_room = self._state.capacity_index.machines
+        machines_with_room = self._state.capacity_index.machines
         if job.spec.shape == GANG:
-            self._place_gang(job, [m for m in with_room.values() if may_take(m)], now)
+            self._place_gang(job, [m for m in machines_with_room.values() if can_take(m)], now)
         elif job.is_service:
-            self._place_service(job, count, [m for m in with_room.values() if may_take(m)], now)
+            self._place_service(job, count, [m for m in machines_with_room.values() if can_take(m)], now)
         elif by_zone:
-            self._place_by_zone(job, count, [m for m in with_room.values() if may_take(m)], now)
+            self._place_by_zone(job, count, [m for m in machines_with_room.values() if can_take(m)], now)
         else:
-            self._place_array(job, count, open_to_job, with_image_only, now)
+            self._place_array(job, count, is_allowed, with_image_only, now)
 
-    def _zone_open(self, job: Job, machine: Machine, returning: bool) -> bool:
-        """Whether the state of its zone lets the machine take a task of the job."""
+    def _is_zone_allowed(self, job: Job, machine: Machine, returning: bool) -> bool:
+        """Return whether the state of the machine's zone allows a task of the job on the machine."""
         if machine.zone in self._state.closed_zones:
             return False
         if (machine.zone in self._state.returning_zones) != returning:
@@ -77,37 +81,41 @@
         )
 
     def _place_array(
-        self, job: Job, count: int, may_take: MachineFilter, with_image_only: bool, now: float
+        self, job: Job, count: int, can_take: MachineFilter, with_image_only: bool, now: float
     ) -> None:
-        """Tasks that go anywhere: as many machines as there are tasks are enough to choose from."""
+        """Place tasks of an array that has no zone rules. At most one machine per task is needed, so at most
+        `count` candidate machines are considered."""
         quota = self._state.quotas[job.team]
         count = min(count, len(job.waiting), quota.headroom(job.spec))
         if count <= 0:
             return
         if self._state.policy.spread:
-            self._place_by_cost(job, count, may_take, now)
+            self._place_by_cost(job, count, can_take, now)
             return
-        machines = self._state.capacity_index.best(job, count, may_take, with_image_only)
+        machines = self._state.capacity_index.best(job, count, can_take, with_image_only)
         starved = self._queue.is_starved(job, now)
         placed = 0
         while placed < count:
-            machine = self._hinted(job, may_take) or placement_rules.first_with_room(job, machines)
+            machine = self._take_hinted_machine(job, can_take) or placement_rules.first_with_room(
+                job, machines
+            )
             if machine is None:
                 job.why_waiting = NO_ROOM
                 break
-            self._put(job, job.waiting.pop(), machine, now, starved)
+            self._assign(job, job.waiting.pop(), machine, now, starved)
             placed += 1
         if placed:
             log.debug("placed: job=%s tasks=%d waiting=%d", job.spec.id, placed, len(job.waiting))
 
-    def _place_by_cost(self, job: Job, count: int, may_take: MachineFilter, now: float) -> None:
-        """The same where load is spread: each task where it costs least, with those before it reserved."""
-        chooser = self._spreader.chooser(job, count, may_take)
+    def _place_by_cost(self, job: Job, count: int, can_take: MachineFilter, now: float) -> None:
+        """Place tasks of an array when load spread is enabled. Each task goes to the machine with the lowest
+        cost, given the capacity already reserved for the tasks before it."""
+        chooser = self._spreader.chooser(job, count, can_take)
         starved = self._queue.is_starved(job, now)
         choices: list[Choice] = []
-        had_image: dict[int, bool] = {}  # by machine, before the first task of the job was put there
+        had_image: dict[int, bool] = {}  # by machine index, before the first of these tasks
         for _ in range(count):
-            machine = self._hinted(job, may_take)
+            machine = self._take_hinted_machine(job, can_take)
             if machine is None:
                 choice = chooser.next()
                 if choice is None:
@@ -116,20 +124,21 @@
                 machine = choice.machine
                 had_image.setdefault(machine.index, machine.images.get(job.image, False))
                 choices.append(choice)
-            self._put(job, job.waiting.pop(), machine, now, starved)
+            self._assign(job, job.waiting.pop(), machine, now, starved)
             if choices and choices[-1].machine is machine:
                 chooser.placed(choices[-1])
         self._spreader.log_choices(job, choices, had_image)
 
-    def _hinted(self, job: Job, may_take: MachineFilter) -> Machine | None:
-        """The machine that a migration chose for the next task, if there is still room on it."""
+    def _take_hinted_machine(self, job: Job, can_take: MachineFilter) -> Machine | None:
+        """Remove the migration hint of the next task and return the machine that it names, or None if there
+        is no hint or the machine can't take the task any longer."""
         hint = job.hints.pop(job.waiting[-1], None)
         machine = None if hint is None else self._state.machines.get(hint)
-        return machine if machine is not None and machine.has_room(job.spec) and may_take(machine) else None
+        return machine if machine is not None and machine.has_room(job.spec) and can_take(machine) else None
 
     def _place_by_zone(self, job: Job, count: int, machines: list[Machine], now: float) -> None:
-        """Tasks of an array that is bound to one zone or spread over zones: each placement changes which
-        zones are open."""
+        """Place tasks of an array that is restricted to one zone or spread over zones. Each placement changes
+        which zones are allowed for the next one."""
         machines = placement_rules.ranked(job, machines)
         quota = self._state.quotas[job.team]
         starved = self._queue.is_starved(job, now)
@@ -142,11 +151,12 @@
             if machine is None:
                 job.why_waiting = NO_ROOM
                 break
-            self._put(job, job.waiting.pop(), machine, now, starved)
+            self._assign(job, job.waiting.pop(), machine, now, starved)
             count -= 1
 
     def _place_service(self, job: Job, count: int, machines: list[Machine], now: float) -> None:
-        """Replicas one by one, since each changes which machine is best for the next."""
+        """Place replicas of a service one by one, because each placement changes which machine is best for
+        the next."""
         max_silence_s = self._state.quiet_s
         machines = [m for m in machines if placement_rules.is_stable(m, now, max_silence_s)]
         quota = self._state.quotas[job.team]
@@ -172,22 +182,22 @@
                     ),
                 ),
             )
-            self._put(job, job.waiting.pop(), best, now, unpreemptable=False)
+            self._assign(job, job.waiting.pop(), best, now, unpreemptable=False)
             count -= 1
 
     def _place_gang(self, job: Job, machines: list[Machine], now: float) -> None:
-        """All waiting tasks of a gang at once, in one transaction, or none."""
+        """Place all waiting tasks of a gang in one transaction, or none of them."""
         chosen = placement_rules.choose_gang(job, machines, len(job.waiting))
         if chosen is None:
             job.why_waiting = "no room for the whole gang"
             return
-        # One attempt number for the whole gang: its tasks find one another by it.
+        # All tasks of the gang share one attempt number, by which they find each other.
         attempt = self._state.next_attempt
         starved = self._queue.is_starved(job, now)
         for machine in chosen:
-            self._put(job, job.waiting.pop(), machine, now, starved, attempt)
+            self._assign(job, job.waiting.pop(), machine, now, starved, attempt)
 
-    def _put(
+    def _assign(
         self,
         job: Job,
         task: int,
@@ -196,7 +206,8 @@
         unpreemptable: bool,
         attempt: int | None = None,
     ) -> None:
-        """Reserve the machine for the task and have the placement written; `attempt`: a new one if None."""
+        """Reserve capacity on the machine for the task and queue the placement to be written. If `attempt` is
+        None, a new attempt number is used."""
         if attempt is None:
             attempt = self._state.next_attempt
         self._state.next_attempt = max(self._state.next_attempt, attempt + 1)
