--- a/bayford/coordination/leader/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -43,11 +43,9 @@
                 or self._state.in_flight is not None
             ):
                 return None
-            assert self._state.task_log is not None, (
-                "task log not set: Scheduler.connect was not called"
-            )
+            assert self._state.task_log is not None, "task log not set: Scheduler.connect was not called"
             self._state.in_flight = self._state.task_log.with_task_log(
-                lambda task_log: BatchMaker(self._state, task_log, ops).make()
+                lambda task_log: BatchBuilder(self._state, task_log, ops).build()
             )
             return self._state.in_flight
 
@@ -104,7 +102,7 @@
         return len(self._state.pending_completions)
 
 
-class BatchMaker:
+class BatchBuilder:
     """Builds one batch from the leader's state and removes the batched changes from the pending ones.
 
     Used for a single batch. The caller must hold the lock of the leader's state.
@@ -120,7 +118,7 @@
         self._batch = CommitBatch(state.term, {records.LEADERSHIP: state.term})
         self._rows = [self._new_row(0)]
 
-    def make(self) -> CommitBatch:
+    def build(self) -> CommitBatch:
         """Build the batch: changed tasks, those of urgent jobs first; then completed and closed jobs; then
         migration counts."""
         state = self._state
@@ -150,7 +148,7 @@
         state = self._state
         job = state.jobs[job_id]
         max_rows = max(1, min(self._ops, MAX_ROWS_BYTES // self._row_bytes))
-        taken = set()
+        added = set()
         for task in state.dirty[job_id]:
             placement = job.open.get(task)
             machine = "" if placement is None else state.machine_names[placement.machine]
@@ -158,7 +156,7 @@
                 if len(self._rows) >= max_rows:
                     break
                 self._rows.append(self._new_row(len(self._rows)))
-            taken.add(task)
+            added.add(task)
             row = self._rows[-1]
             if placement is not None:
                 row.add_open(job_id, task, placement.attempt, machine, placement.epoch)
@@ -167,8 +165,8 @@
                 row.add_done(job_id, task)
             else:
                 row.add_closed(job_id, task)
-        if taken:
-            self._batch.tasks[job_id] = taken
+        if added:
+            self._batch.tasks[job_id] = added
 
     def _add_completions(self) -> None:
         """Add the completed and closed jobs whose task changes are all in this batch or already written.
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -19,7 +19,9 @@
 
 log = logging.getLogger(__name__)
 
-MIN_GAIN = 2.0  # minimum ratio of a task's remaining run time to the cost of its migration
+# Minimum ratio of a task's remaining run time to the time that its migration costs: saving a checkpoint,
+# fetching the image and repeating lost work.
+MIN_GAIN = 2.0
 
 
 class LoadSpreader:
@@ -77,7 +79,7 @@
 
     # -- rebalancing -----------------------------------------------------------------------------------
 
-    def step(self, work_waits: bool, now: float) -> None:
+    def step(self, has_waiting_work: bool, now: float) -> None:
         """Migrate running tasks off machines whose load is far above the average, if this lowers the highest
         load.
 
@@ -89,7 +91,7 @@
         if not policy.spread or now < state.spread_at:
             return
         state.spread_at = now + policy.spread_every_s
-        if work_waits or state.stopping or state.uncounted_migrations:
+        if has_waiting_work or state.stopping or state.uncounted_migrations:
             return
         snapshots = {snapshot.index: snapshot for snapshot in self._sample_snapshots(now)}
         hosts = [self._build_host(snapshot, now) for snapshot in snapshots.values()]
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-SEARCH_PERIOD_S = 0.25  # a search looks at many machines: too costly to run in every round
+SEARCH_PERIOD_S = 0.25  # minimum time between searches, which are too costly for every round
 JOBS_PER_SEARCH = 4  # maximum number of preempting jobs per search
 MAX_STOPS_PER_MACHINE = 4  # maximum number of victims on one machine for one waiting task
 
@@ -52,11 +52,12 @@
 
 
 class Preemptor:
-    """Stops running tasks for waiting ones. Called under the lock of the leader's state."""
+    """Stops running tasks to make room for waiting ones. The caller must hold the lock of the leader's
+    state."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
-        self._searches = 0  # number of searches so far, selects each search's window of a large fleet
+        self._search_count = 0  # searches so far; selects the window of a large fleet that a search looks at
 
     # -- room on the machines --------------------------------------------------------------------------
 
@@ -124,7 +125,7 @@
         running = sum(len(job.open) for job in state.jobs.values())
         # The number of stops scales with the fleet, as does the capacity that running tasks release.
         preemptions_left = max(state.policy.preempt_per_round, int(state.policy.preempt_share * running))
-        self._searches += 1
+        self._search_count += 1
         return _Search(now, quotas, machines, preemptions_left)
 
     def _cpus_released_per_s(self) -> float:
@@ -204,7 +205,7 @@
         if len(machines) <= size:
             return machines
         windows = math.ceil(len(machines) / size)
-        begin = self._searches % windows * size
+        begin = self._search_count % windows * size
         return machines[begin : begin + size]
 
     def _stop_cost(self, placement: Placement, search: _Search) -> float:
@@ -249,9 +250,9 @@
         state = self._state
         for job in state.jobs.values():
             if job.is_service and job.waiting and not job.cancelled and job.not_before <= now:
-                lacking = len(job.waiting) - state.quotas[job.team].headroom(job.spec)
-                if lacking > 0:
-                    self._preempt_own_team(job, lacking, now)
+                blocked_replicas = len(job.waiting) - state.quotas[job.team].headroom(job.spec)
+                if blocked_replicas > 0:
+                    self._preempt_own_team(job, blocked_replicas, now)
 
     def _preempt_own_team(self, service: Job, replicas: int, now: float) -> None:
         """Stop lower-priority tasks of the service's team until `replicas` more replicas fit under the team's
--- a/bayford/coordination/leader/scheduling_round.py
+++ b/bayford/coordination/leader/scheduling_round.py
@@ -13,7 +13,7 @@
 from bayford.recovery import return_order
 from bayford.scheduling.model import GANG, URGENT, Job, Machine
 
-IMAGE_COUNT_PERIOD_S = 2.0  # between two computations of the images that are on many machines
+IMAGE_COUNT_PERIOD_S = 2.0  # between recomputations of the images that are on many machines
 
 
 class SchedulingRound:
@@ -107,28 +107,30 @@
                 self._placer.place(entry.job, entry.count, now, returning=True)
             placed = waiting_before - len(entry.job.waiting)
             unplaced[entry.order, entry.job.spec.id] = entry.count - placed
-        counted = [
+        remaining = [
             dataclasses.replace(entry, count=unplaced[entry.order, entry.job.spec.id]) for entry in queue
         ]
-        return [entry for entry in counted if entry.count > 0 and entry.job.waiting]
+        return [entry for entry in remaining if entry.count > 0 and entry.job.waiting]
 
     def _common_images(self, now: float) -> frozenset[int]:
         """Return the images that are on more than `image_share` of the usable machines, so that jobs may wait
         for room on one of these. Recomputed every `IMAGE_COUNT_PERIOD_S`."""
         if now - self._state.images_at > IMAGE_COUNT_PERIOD_S:
             self._state.images_at = now
-            holders: dict[int, int] = {}
+            machine_counts: dict[int, int] = {}
             machines = [machine for machine in self._state.machines.values() if machine.usable]
             for machine in machines:
                 for image, fetched in machine.images.items():
-                    holders[image] = holders.get(image, 0) + fetched
-            enough = self._state.policy.image_share * len(machines)
-            self._state.local_images = frozenset(image for image, count in holders.items() if count > enough)
+                    machine_counts[image] = machine_counts.get(image, 0) + fetched
+            min_count = self._state.policy.image_share * len(machines)
+            self._state.local_images = frozenset(
+                image for image, count in machine_counts.items() if count > min_count
+            )
         return self._state.local_images
 
     def _drain(self, machine: Machine, now: float) -> None:
         """Drain a machine that the cloud will reclaim: stop checkpointing tasks just in time to save a
-        checkpoint, and stop other tasks now if they can't finish before the reclaim."""
+        checkpoint, and stop other tasks now if they are not expected to finish in time."""
         left_s = (machine.reclaim_at or now) - now
         heartbeat_interval_s = self._state.settings.facts.workers.heartbeat_interval_s
         for placement in machine.open.values():
--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -83,8 +83,8 @@
     def _place_array(
         self, job: Job, count: int, can_take: MachineFilter, with_image_only: bool, now: float
     ) -> None:
-        """Place tasks of an array that has no zone rules. At most one machine per task is needed, so at most
-        `count` candidate machines are considered."""
+        """Place tasks of an array that has no zone rules. Without load spread, at most `count` candidate
+        machines are considered, since no more than one machine per task is needed."""
         quota = self._state.quotas[job.team]
         count = min(count, len(job.waiting), quota.headroom(job.spec))
         if count <= 0:
