--- a/bayford/storage/__init__.py
+++ b/bayford/storage/__init__.py
@@ -1,6 +1,6 @@
-"""What is stored in the state service, and how it is read: records, the task log, the watch cache of the
-store.
+"""Data in the key-value store and access to it: job records, the task log and the watch cache.
 
-Nothing here decides anything. Rows of the task log and final records are written by the leader alone
-(`coordination.leader.group_commit`), a job's record by whichever controller accepts or cancels it.
+This package makes no scheduling decisions. Only the leader writes rows of the task log and the records of
+finished jobs (`coordination.leader.group_commit`); the controller that accepts or cancels a job writes the
+record of that job.
 """
--- a/bayford/storage/counting_store.py
+++ b/bayford/storage/counting_store.py
@@ -1,7 +1,7 @@
-"""The state service as one component of a controller uses it: that component's requests are counted.
+"""A key-value store wrapper that counts the requests of one component of a controller.
 
-All controllers share the service's rates, and a component that asks for too much starves the others. The
-counts tell which one asked and which was refused.
+All controllers share the request rates of the key-value store, so a component that sends too many requests
+starves the others. The counts show which component sent requests and whose requests were refused.
 """
 
 import threading
@@ -16,36 +16,36 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """What one component has asked of the state service since its start."""
+    """The requests of one component to the key-value store since the start of the process."""
 
     requests: int = 0
     changes: int = 0  # puts and deletes
-    refused: int = 0  # requests that the service answered but did not execute: 429 or 503
+    refused: int = 0  # requests that were answered but not executed: status 429 or 503
     conflicts: int = 0  # transactions whose conditions failed
 
 
 class CountingStore:
-    """A `KeyValueStore` that passes every call on and counts it. May be called from any thread."""
+    """A `KeyValueStore` that forwards every call to another one and counts it. Thread-safe."""
 
     def __init__(self, store: KeyValueStore, component: str) -> None:
-        """`component`: whose requests these are, for the log."""
+        """`component`: the name of the component that sends the requests, for the log."""
         self.component = component
         self._store = store
         self._lock = threading.Lock()  # guards the counts; never held during a request
         self._counts = RequestCounts()
 
     def counts(self) -> RequestCounts:
-        """A copy of the counts as of now."""
+        """Return a copy of the current counts."""
         with self._lock:
             return replace(self._counts)
 
     def scan(self, prefix: str) -> tuple[list[Row], int]:
         """See `KeyValueStore`."""
-        return self._counted(lambda: self._store.scan(prefix))
+        return self._call_and_count(lambda: self._store.scan(prefix))
 
     def compare_and_swap(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
         """See `KeyValueStore`."""
-        outcome = self._counted(lambda: self._store.compare_and_swap(conditions, puts), len(puts))
+        outcome = self._call_and_count(lambda: self._store.compare_and_swap(conditions, puts), len(puts))
         if not outcome.applied:
             with self._lock:
                 self._counts.conflicts += 1
@@ -53,17 +53,17 @@
 
     def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
         """See `KeyValueStore`."""
-        return self._counted(lambda: self._store.watch(prefix, since, wait_s))
+        return self._call_and_count(lambda: self._store.watch(prefix, since, wait_s))
 
     def grant_lease(self, ttl_s: float) -> int:
         """See `KeyValueStore`."""
-        return self._counted(lambda: self._store.grant_lease(ttl_s))
+        return self._call_and_count(lambda: self._store.grant_lease(ttl_s))
 
     def renew_lease(self, lease: int) -> None:
         """See `KeyValueStore`."""
-        self._counted(lambda: self._store.renew_lease(lease))
+        self._call_and_count(lambda: self._store.renew_lease(lease))
 
-    def _counted(self, call: Callable[[], T], changes: int = 0) -> T:
+    def _call_and_count(self, call: Callable[[], T], changes: int = 0) -> T:
         with self._lock:
             self._counts.requests += 1
             self._counts.changes += changes
--- a/bayford/storage/errors.py
+++ b/bayford/storage/errors.py
@@ -1,5 +1,5 @@
-"""The root of what can go wrong with the store and with the values in it."""
+"""The base class of errors of the key-value store and of the values in it."""
 
 
 class StorageError(Exception):
-    """The state service did not do what it was asked to, or a stored value cannot be read."""
+    """A request to the key-value store failed, or a stored value is unreadable."""
--- a/bayford/storage/key_value_store.py
+++ b/bayford/storage/key_value_store.py
@@ -1,6 +1,6 @@
-"""What the layers above expect of the state service and how its failures look to them.
+"""The interface of the key-value store, and its errors.
 
-The codec for the wire is `protocol.key_value_api`; tests put an in-memory store here instead.
+`protocol.key_value_api` is the client for the wire; tests use an in-memory implementation.
 """
 
 from dataclasses import dataclass
@@ -10,38 +10,38 @@
 
 
 class UnavailableError(StorageError):
-    """Not executed: 503, 429 or no connection. Asking again is harmless."""
+    """The request was not executed: status 503 or 429, or no connection. Retrying is safe."""
 
-    def __init__(self, text: str, refused: bool = False) -> None:
-        """`refused`: the service itself said so, and is thus in reach."""
-        super().__init__(text)
+    def __init__(self, message: str, refused: bool = False) -> None:
+        """`refused`: the service itself refused the request, so it is reachable."""
+        super().__init__(message)
         self.refused = refused
 
 
 class TooLargeError(UnavailableError):
-    """Refused for what it is, its size most likely: sent again as it stands it will be refused again."""
+    """The request itself was refused, most likely for its size; an unchanged retry will be refused again."""
 
-    def __init__(self, text: str) -> None:
-        super().__init__(text, refused=True)
+    def __init__(self, message: str) -> None:
+        super().__init__(message, refused=True)
 
 
 class OutcomeUnknownError(StorageError):
-    """No answer: the request may have been executed, or may still be."""
+    """No response arrived: the request may have been executed, or may be executed later."""
 
 
 class LeaseGoneError(StorageError):
-    """The lease has ended; a new one is needed."""
+    """The lease has expired; the caller needs a new one."""
 
 
 class CompactedError(StorageError):
-    """The revision asked for is too old: read the keys again."""
+    """The requested revision is no longer available: the caller must scan the keys again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A key's value as of the revision `version`, in which it was written last.
+    """A key's value; `version` is the revision that last wrote the key.
 
-    `value` None means that the key was deleted then. Versions of a key only grow, also over deletions.
+    `value` is None if that revision deleted the key. A key's version only increases, also across deletions.
     """
 
     key: str
@@ -51,9 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """One change of a transaction: `key` is set to `value`, or deleted if that is None.
+    """One change of a transaction: sets `key` to `value`, or deletes it if `value` is None.
 
-    With `lease` the key is deleted when the lease ends; without, it stays, also if it had a lease before.
+    With `lease` the key is deleted when the lease expires. Without one the key is permanent, even if it had
+    a lease before.
     """
 
     key: str
@@ -63,10 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The answer to a transaction: all of it took place, or nothing.
+    """The result of a transaction, all of whose changes are applied or none.
 
-    Applied: `revision` is the version of every key that it set, and `failed` is empty. Not applied:
-    `revision` is the store's at that moment, and `failed` names the keys whose conditions did not hold.
+    Applied: `revision` is the new version of every changed key, and `failed` is empty. Not applied:
+    `revision` is the store's current revision, and `failed` has the keys whose conditions did not hold.
     """
 
     revision: int
@@ -74,33 +75,36 @@
 
     @property
     def applied(self) -> bool:
-        """Whether the changes took place."""
+        """Whether the changes were applied."""
         return not self.failed
 
 
 class KeyValueStore(Protocol):
-    """The state service. May be called from any thread.
+    """The key-value store. Implementations are thread-safe.
 
-    Every method raises UnavailableError for a request that was not executed, and OutcomeUnknownError for one
-    that may have been.
+    Every method raises UnavailableError if the request was not executed, and OutcomeUnknownError if it may
+    have been.
     """
 
     def scan(self, prefix: str) -> tuple[list[Row], int]:
-        """All keys with the prefix, and a revision that is no newer than any of the pages read."""
+        """Return the rows of all keys with the prefix, and a revision no newer than that of any page read."""
 
     def compare_and_swap(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
-        """An atomic transaction; without puts it only compares.
+        """Execute a transaction atomically; without puts it only checks the conditions.
 
-        `conditions`: the version that each key must have, 0 for a key that must not exist. LeaseGoneError if
-        a put names a lease that has ended, TooLargeError if the service does not take one of this size.
+        `conditions`: the version that each key must have, 0 for a key that must not exist. Raises
+        LeaseGoneError if the lease of a put has expired, and TooLargeError if the transaction or one of its
+        values is too large.
         """
 
     def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
-        """Changes after the revision `since`, waiting up to `wait_s` for the first, and the revision as of
-        which they are complete. CompactedError if `since` is too old."""
+        """Return the changes after the revision `since`, and the revision up to which they are complete.
+
+        Waits up to `wait_s` for the first change. Raises CompactedError if `since` is no longer available.
+        """
 
     def grant_lease(self, ttl_s: float) -> int:
-        """A new lease, which ends `ttl_s` after it was last renewed."""
+        """Create a lease that expires `ttl_s` after its last renewal, and return its id."""
 
     def renew_lease(self, lease: int) -> None:
-        """Extend a lease by its full time, or raise LeaseGoneError."""
+        """Renew a lease for its full duration. Raises LeaseGoneError if it has expired."""
--- a/bayford/storage/records.py
+++ b/bayford/storage/records.py
@@ -1,14 +1,13 @@
-"""How a job is stored in the state service, and the keys of everything that is.
+"""The stored form of a job, and the keys of all data in the key-value store.
 
-Two things are kept apart, since they change at different rates. What the user decides, which is the job and
-its cancellation, and that it is done, is in one small record under `b/j/<id>`: written when the job is
-accepted, cancelled or complete, and by its version the one place where a cancellation and the last task's end
-are put in order. What the leader decides, which is where each task is and which are done, changes hundreds of
-times a second and is in the task log (`storage.task_log`), where one write carries the changes of many
-jobs.
+A job is stored in two places, because its parts change at different rates. A small record under `b/j/<id>`
+has the job specification and whether the job is cancelled or finished. It is written when the job is
+accepted, cancelled or finished, and only compare-and-swap on its version orders a cancellation and the end of
+the last task. The placement and completion of tasks, which the leader decides, change hundreds of times a
+second. They are in the task log (`storage.task_log`), where one write carries the changes of many jobs.
 
-The values here are read by other releases of a rolling upgrade, too: neither the keys nor the order of fields
-may change.
+During a rolling upgrade other releases read these values, too, so neither the keys nor the order of the
+fields may change.
 """
 
 import json
@@ -23,82 +22,82 @@
 PREFIX = "b/"
 JOBS = "b/j/"
 LOG = "b/log/"
-# The size of a value that the task log was laid out for; the first release knows no such key.
+# The value size that determines the task log's block size. The first release does not use this key.
 LAYOUT = "b/layout"
 LEADERSHIP = "b/map"
-ADMISSION = "b/admission"  # the leader's admission level; from release 4 on
-FEATURES = "b/feature/"  # what a live controller keeps to, beside its member key; from release 4 on
-ZONES = "b/zone/"  # state and losses of a zone; from release 3 on
-MIGRATION_COUNTS = "b/moves/"  # restarts by moves, a key for each job that was ever moved; from release 3 on
+ADMISSION = "b/admission"  # the leader's admission level; since release 4
+FEATURES = "b/feature/"  # features of a live controller, written with its member key; since release 4
+ZONES = "b/zone/"  # state and losses of a zone; since release 3
+MIGRATION_COUNTS = "b/moves/"  # restarts by migration, one key per migrated job; since release 3
 MEMBERS = "b/member/"
 RELAYS = "b/relay/"
 SUMMARIES = "b/sum/"
 
 
 class UnreadableError(StorageError):
-    """A value in the store that no release writes. Never taken for an absent one."""
+    """A stored value that no release writes. It must not be treated as an absent value."""
 
 
 class Record(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A job as its users know it. Stored as an array, so the order of the fields is part of the record."""
+    """The stored record of a job. It is encoded as an array, so the order of the fields is significant."""
 
     spec: JobSpec
-    created: float  # time of day in seconds, for deadlines
-    cancelled: float = 0.0  # time of day of the cancellation, 0 if there is none
+    created: float  # time of day in seconds; deadlines are relative to it
+    cancelled: float = 0.0  # time of day of the cancellation in seconds; 0 if not cancelled
     finished: bool = False
-    done: int = 0  # tasks done when it was over
+    done: int = 0  # number of tasks done when the job finished or was cancelled
 
     @property
     def over(self) -> bool:
-        """Final: nothing may change the record any more."""
+        """Whether the record is final: it must not change again."""
         return self.finished or self.cancelled > 0
 
 
 class State(msgspec.Struct):
-    """A job's record and where the task log stands with it, of one revision."""
+    """A job's record and its task counts from the task log, both of the same revision."""
 
     record: Record
     version: int  # of the record
-    open: int = 0  # tasks on machines
-    done: int = 0  # tasks done
+    open: int = 0  # number of tasks on machines
+    done: int = 0  # number of tasks done
 
 
 def key(job_id: str) -> str:
-    """The key of a job's record."""
+    """Return the key of a job's record."""
     return JOBS + job_id
 
 
 def migration_counts_key(job_id: str) -> str:
-    """The key of the counts of a job's restarts by moves."""
+    """Return the key of a job's counts of restarts by migration."""
     return MIGRATION_COUNTS + job_id
 
 
 def encode(record: Record) -> Any:
-    """The value of a record."""
+    """Return the value of a record."""
     return msgspec.to_builtins(record)
 
 
 def size(value: Any) -> int:
-    """Bytes of a value as JSON, in whichever of the two usual ways to write it is the longer."""
+    """Return the size of a value as JSON in bytes: the larger of the results of the two usual encoders."""
     return max(len(orjson.dumps(value)), len(json.dumps(value, separators=(",", ":"))))
 
 
 def fitted(record: Record, max_bytes: int) -> Any:
-    """The value of a final record in at most `max_bytes` bytes, as far as that can be.
+    """Return the value of a final record, reduced if it is larger than `max_bytes` bytes.
 
-    It may have been accepted when values could be larger. Nothing of the job starts any more, so what only
-    says where and with what it might run can go; its team and amounts stay, since tasks of it may still be
-    there.
+    The job may have been accepted when the maximum value size was larger. None of its tasks will start again,
+    so the fields that only say where and with what they may run are cleared. Its team and resource amounts
+    stay, since some of its tasks may still be on machines. The result may still exceed `max_bytes`.
     """
     value = encode(record)
     if size(value) <= max_bytes:
         return value
-    bare = msgspec.structs.replace(record.spec, types=None, zone=None, image="-", job_class="-")
-    return encode(msgspec.structs.replace(record, spec=bare))
+    reduced_spec = msgspec.structs.replace(record.spec, types=None, zone=None, image="-", job_class="-")
+    return encode(msgspec.structs.replace(record, spec=reduced_spec))
 
 
 def decode(value: Any) -> Record:
-    """A record from its value; UnreadableError if it is none. The caller knows the key, and names it."""
+    """Decode a record. Raises UnreadableError, without the key; the caller reports the key."""
     try:
         return msgspec.convert(value, Record)
     except msgspec.ValidationError as error:
--- a/bayford/storage/shared_reads.py
+++ b/bayford/storage/shared_reads.py
@@ -1,4 +1,4 @@
-"""Reads that are shared by all who ask for one at about the same time."""
+"""Reads that are shared by all threads that are waiting for one when it is sent."""
 
 import threading
 import time
@@ -6,21 +6,23 @@
 
 
 class SharedReads:
-    """Lets any number of threads wait for a read that is sent after they asked; one thread does the reads."""
+    """Lets threads wait for a read that is sent after their request. A single thread does the reads."""
 
     def __init__(self, read: Callable[[], bool]) -> None:
-        """`read`: does one read, and returns whether it succeeded."""
+        """`read`: performs one read and returns whether it succeeded."""
         self._read = read
-        # Guards the three ticket numbers, and is notified whenever one of them changes. Not held during a
-        # read.
+        # Guards the three ticket numbers and is notified when one of them changes. Never held during a read.
+        # Each request takes the next ticket; a read serves all tickets taken before it was sent.
         self._tickets = threading.Condition()
         self._last_requested = 0
         self._last_served = 0
         self._last_failed = 0
 
     def wait(self, timeout_s: float) -> bool:
-        """Wait until a read that was sent after this call has succeeded. False if it failed or takes
-        longer."""
+        """Wait until a read that was sent after this call succeeds.
+
+        Returns False if that read fails or the wait exceeds `timeout_s`.
+        """
         with self._tickets:
             self._last_requested += 1
             ticket = self._last_requested
@@ -29,16 +31,16 @@
             while self._last_served < ticket:
                 if self._last_failed >= ticket:
                     return False
-                left_s = deadline - time.monotonic()
-                if left_s <= 0:
+                remaining_s = deadline - time.monotonic()
+                if remaining_s <= 0:
                     return False
-                self._tickets.wait(left_s)
+                self._tickets.wait(remaining_s)
         return True
 
-    def serve(self, gap_s: float) -> None:
-        """The body of the thread that reads: one read for all who wait, and at least `gap_s` between two.
+    def serve(self, pause_s: float) -> None:
+        """Perform one read for all waiting threads at a time, with a pause of `pause_s` after each read.
 
-        Never returns.
+        The body of the thread that reads; never returns.
         """
         while True:
             with self._tickets:
@@ -52,4 +54,4 @@
                 else:
                     self._last_failed = ticket
                 self._tickets.notify_all()
-            time.sleep(gap_s)
+            time.sleep(pause_s)
--- a/bayford/storage/task_log_row.py
+++ b/bayford/storage/task_log_row.py
@@ -1,7 +1,7 @@
-"""One row of the task log: its stored form, and the layout that all rows of a log share.
+"""The stored form of a row of the task log, and the layout that all rows of a log share.
 
-The letters of the stored fields are those that the first release wrote, and are mapped to names here and
-nowhere else. No field may be added: older releases refuse a row with a field that they don't know.
+The one-letter names of the stored fields are those of the first release; only this module maps them to
+descriptive names. No field may be added, since older releases reject a row with an unknown field.
 """
 
 from collections.abc import Iterator
@@ -11,28 +11,28 @@
 
 from bayford.storage.records import UnreadableError
 
-HEAD_BYTES = 192  # a value without its entries, at the longest
-ENTRY_BYTES = 24  # a task's entry in a row, at the longest that is usual
-MACHINE_NAME_BYTES = 16  # the name of the entry's machine
+MAX_HEADER_BYTES = 192  # upper bound of a row's size without its entries
+ENTRY_BYTES = 24  # usual upper bound of a task's entry, without names
+MACHINE_NAME_BYTES = 16  # usual upper bound of a machine's name
 MIN_BLOCK_SIZE = 4
 
 
 class Block(NamedTuple):
-    """A run of one job's task numbers, `block_size` long. Snapshots are taken of whole blocks."""
+    """A run of `block_size` consecutive task numbers of one job. A snapshot always covers a whole block."""
 
     job: str
     number: int
 
 
 class MachineEpoch(NamedTuple):
-    """A machine in one of its epochs."""
+    """A machine and one of its epochs."""
 
     machine: str
     epoch: int
 
 
 class TaskPlacement(NamedTuple):
-    """Where the task log has a task: the attempt at it, and the machine with its epoch."""
+    """The placement of a task in the task log: its attempt, and the machine and epoch."""
 
     attempt: int
     machine: str
@@ -40,40 +40,41 @@
 
 
 class BlockSnapshot(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A block of tasks as it was before the row. Tasks that are not named are neither placed nor done."""
+    """The state of a block before the row. Tasks that are not listed are neither placed nor done."""
 
     job: str
     number: int
-    done: list[int]  # as ranges
-    placed: list[int]  # see `StoredRow`
+    done: list[int]  # task numbers as ranges, see `task_ranges`
+    placed: list[int]  # flat list, see `StoredRow`
 
 
 class StoredRow(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """A row as it is stored. The order of the fields is the order in the stored value.
+    """The stored form of a row. The order of the fields is the order in the stored value.
 
-    Tasks on machines are flat lists of task, attempt and index into `machines`, three numbers a task: a value
-    is a few KiB, and names and brackets would take half of it. `decode_placed` reads them.
+    Placed tasks are stored as flat lists with three numbers per task: task, attempt and index into
+    `machines`. A value is limited to a few KiB, and names and brackets would take half of that.
+    `decode_placed` decodes these lists.
     """
 
     number: int = msgspec.field(name="n")
-    tail: int = msgspec.field(name="t")  # of the log when the row was written
+    tail: int = msgspec.field(name="t")  # the log's tail when the row was written
     next_attempt: int = msgspec.field(name="a")
     machines: list[MachineEpoch] = msgspec.field(name="m", default_factory=list)
     placed: dict[str, list[int]] = msgspec.field(name="o", default_factory=dict)  # by job
     done: dict[str, list[int]] = msgspec.field(name="d", default_factory=dict)  # task numbers by job
-    # Task numbers by job, of tasks that are neither on a machine any more nor done.
+    # Task numbers by job: tasks that left their machine without being done.
     closed: dict[str, list[int]] = msgspec.field(name="c", default_factory=dict)
-    ended_jobs: list[str] = msgspec.field(name="x", default_factory=list)  # nothing of them is on any machine
+    ended_jobs: list[str] = msgspec.field(name="x", default_factory=list)  # they have no tasks on any machine
     snapshots: list[BlockSnapshot] = msgspec.field(name="s", default_factory=list)
 
 
 def encode_row(row: StoredRow) -> Any:
-    """The value of a row, without its empty fields."""
+    """Return the value of a row, without empty fields."""
     return msgspec.to_builtins(row)
 
 
 def decode_row(slot: str, value: Any) -> StoredRow:
-    """The row in a slot; UnreadableError for a value that is none."""
+    """Return the row in a slot. Raises UnreadableError if the value is not a row."""
     try:
         return msgspec.convert(value, StoredRow)
     except msgspec.ValidationError as error:
@@ -81,15 +82,15 @@
 
 
 def decode_placed(placed: list[int]) -> Iterator[tuple[int, int, int]]:
-    """Task, attempt and index of the machine, of each entry of a row's flat list of placed tasks."""
+    """Return task, attempt and machine index for each entry of a flat list of placed tasks."""
     return zip(placed[::3], placed[1::3], placed[2::3], strict=True)
 
 
 def block_size(value_bytes: int) -> int:
-    """Tasks in a block, so that a snapshot of one takes a third of a value of this size at the most."""
-    return max(MIN_BLOCK_SIZE, (value_bytes - HEAD_BYTES) // 3 // (ENTRY_BYTES + MACHINE_NAME_BYTES))
+    """Return the tasks per block so that a snapshot takes at most a third of a value of this size."""
+    return max(MIN_BLOCK_SIZE, (value_bytes - MAX_HEADER_BYTES) // 3 // (ENTRY_BYTES + MACHINE_NAME_BYTES))
 
 
 def tasks_of_block(number: int, size: int) -> range:
-    """The task numbers of a block."""
+    """Return the task numbers of a block."""
     return range(number * size, (number + 1) * size)
--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -1,8 +1,8 @@
-"""A watch cache of this system's part of the store, fed by changes, and the task log that its rows add up to.
+"""A watch cache of all rows under `records.PREFIX`, and the task log that is built from its rows.
 
-Monotone by construction: a row is replaced only by one with a larger version. `refresh()` makes reads of it
-linearizable: one read of the changes since its revision, shared by all who asked before that read was sent,
-so a query costs the state service a fraction of a request.
+The cache is monotonic: a row is replaced only by one with a larger version. `refresh()` makes subsequent
+reads linearizable: it waits for one read of the changes since the cache's revision. All callers that are
+waiting when that read is sent share it, so a query costs the key-value store a fraction of a request.
 """
 
 import logging
@@ -35,27 +35,27 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredJob:
-    """A job that is not over, as the store has it."""
+    """The stored state of a job that is not final or still has tasks on machines."""
 
     record: records.Record
     version: int
-    progress: Progress | None  # None: the task log has no entry for it
+    progress: Progress | None  # None: the task log has no entries of the job
 
 
 class RecordedPlacement(NamedTuple):
-    """A task that the records put on a machine."""
+    """A task that is on a machine according to the task log."""
 
     job: str
     task: int
     attempt: int
     epoch: int  # of the machine
-    cancelled: bool  # the job is
+    cancelled: bool  # whether the job is cancelled
 
 
 class WatchCache:
-    """All rows under `records.PREFIX`, by key. May be used from any thread.
+    """A cache of all rows under `records.PREFIX`, by key. Thread-safe.
 
-    Methods that need the task log raise UnavailableError while it does not match the rows.
+    Methods that need the task log raise UnavailableError while it is not consistent with the rows.
     """
 
     def __init__(
@@ -67,63 +67,69 @@
         clock: Callable[[], float] = time.monotonic,
         on_read: Callable[[], None] = lambda: None,
     ) -> None:
-        """`layout_bytes`: what the task log is laid out for, unless the store says otherwise. `listener` is
-        called with rows that have changed, outside the lock on the rows. Without `threaded` the caller of
-        `refresh` reads by itself. `on_read` is called after each read that has advanced `as_of`."""
+        """`layout_bytes`: the value size that determines the task log's block size if the store has no layout
+        record. `listener`: called with the changed rows, without the lock on the rows. `threaded`: whether a
+        thread in `serve_refreshes` reads for `refresh`; otherwise the caller of `refresh` reads. `on_read`:
+        called after each read that advanced `as_of`.
+        """
         self._store = store
         self._layout_bytes = layout_bytes
         self._listener = listener
         self._threaded = threaded
         self._clock = clock
         self._on_read = on_read
-        # Guards the order of deliveries: held from taking rows in until the listener has returned. So rows
-        # are delivered in the order in which they are taken in, and whoever has read returns only when all
-        # that its read shows has been delivered. Else a second read, which finds the rows here already,
-        # would vouch for a cancellation that nobody has acted upon yet. Reentrant, so that a listener may
-        # take rows in, too. Taken before `_lock`, never while that is held.
+        # Serializes deliveries: held from the update of the cache until the listener has returned. Rows are
+        # therefore delivered in the order in which they are applied, and a thread that reads returns only
+        # after everything in its read has been delivered. Otherwise a second read, whose rows are already
+        # cached and thus not delivered again, could return and count as proof that all cancellations up to
+        # then were handled while the listener has not handled one of them. Reentrant, because a listener may
+        # apply rows itself. Acquired before `_lock`, never while `_lock` is held.
         self._delivery_lock = threading.RLock()
-        # Guards the rows, all that is derived from them and the flags on their state. Held for short
-        # computations only, never during a request or a call of the listener.
+        # Guards the rows, the state derived from them and the two flags below. Held for short computations
+        # only, never during a request or a call of the listener.
         self._lock = threading.Lock()
-        self._rows: dict[str, dict[str, Row]] = {}  # prefix (the first two words of the key) -> key -> row
-        self._deleted_versions: dict[str, int] = {}  # so that an older row does not bring a deleted key back
+        self._rows: dict[str, dict[str, Row]] = {}  # prefix (see `_prefix`) -> key -> row
+        self._deleted_versions: dict[str, int] = {}  # stops older rows from restoring deleted keys
         self._records: dict[str, tuple[int, records.Record]] = {}  # key -> version, decoded record
         self.task_log = TaskLog(layout_bytes)
-        # Rows read page by page are of several moments; only the changes that follow make them one revision.
-        # Until then, and while a row can't be read, the task log does not match the rows.
-        self._task_log_stale = True
-        self._reloading = False  # one reload at a time
-        self.revision = -1  # -1: never loaded
-        # As of which moment the cache is complete: the sending of the last read that was taken in. All that
-        # was committed before then, by whomever, is here and has been delivered to the listener.
+        # The pages of a scan are of different revisions; only the changes applied after it make the rows
+        # consistent. Until then, and while a row of the task log is unreadable, the task log is stale.
+        self._is_task_log_stale = True
+        self._is_reloading = False  # allows one reload at a time
+        self.revision = -1  # of the store; -1 until the first load
+        # Clock time at which the last applied read was sent. Everything that any controller committed before
+        # that time is in the cache and has been delivered to the listener.
         self.as_of = NEVER
         self._shared_reads = SharedReads(self._try_pull)
 
-    # -- feeding ---------------------------------------------------------------------------------------
+    # -- updating --------------------------------------------------------------------------------------
 
     def apply(self, rows: Iterable[Row], revision: int | None = None, notify: bool = True) -> None:
-        """Take rows in and deliver those that have changed to the listener, unless they are its own writes
-        (`notify` False). `revision`: as of which the rows are complete, if they are."""
+        """Update the cache and deliver the rows that changed to the listener.
+
+        `revision`: the revision up to which the cache is complete with these rows; None if that is unknown.
+        `notify`: False for rows written by the listener itself, which are not delivered.
+        """
         with self._delivery_lock:
-            changed = self._take_in(rows, revision)
+            changed = self._update_rows(rows, revision)
             if changed and notify and self._listener is not None:
                 self._listener(changed)
 
-    def _take_in(self, rows: Iterable[Row], revision: int | None) -> list[Row]:
-        """The rows that have changed, those of the task log aside."""
+    def _update_rows(self, rows: Iterable[Row], revision: int | None) -> list[Row]:
+        """Update the cache; return the rows that changed, without those of the task log."""
         changed: list[Row] = []
         log_rows: list[Row] = []
         with self._lock:
             for row in rows:
-                if not self._replace(row):
+                if not self._store_if_newer(row):
                     continue
                 if row.key.startswith(LOG):
                     log_rows.append(row)
                 else:
                     changed.append(row)
             if self._stored_layout_bytes() != self.task_log.layout_bytes:
-                self._task_log_stale = True  # what was read with other blocks is to be read again
-            if not self._task_log_stale:
+                self._is_task_log_stale = True  # the task log was built with another block size
+            if not self._is_task_log_stale:
                 self._extend_task_log(log_rows)
             if revision is not None and revision > self.revision:
                 self.revision = revision
@@ -131,8 +137,8 @@
                     self._deleted_versions.clear()
         return changed
 
-    def _replace(self, row: Row) -> bool:
-        """Put the row in the place of an older one; False if it is not newer than what is known."""
+    def _store_if_newer(self, row: Row) -> bool:
+        """Store the row; return False if it is not newer than the cached or deleted row of its key."""
         rows = self._rows.setdefault(_prefix(row.key), {})
         old = rows.get(row.key)
         if old is not None and old.version >= row.version:
@@ -151,35 +157,36 @@
             for row in log_rows:
                 self.task_log.apply_row(row.key, row.version, row.value)
         except UnreadableError as error:
-            log.error("task log unreadable: %s", error)
-            self._task_log_stale = True
+            log.error("task log unreadable: error=%s", error)
+            self._is_task_log_stale = True
 
     def reload(self) -> None:
-        """Read everything again: at the start, and when the changes have been compacted.
+        """Read all rows: at start-up, and again after a compaction or while the task log is stale.
 
-        UnavailableError if that is not possible now, or if another thread is at it.
+        Raises UnavailableError if the store is unavailable, if it compacts the changes faster than they are
+        read, or if another thread is reloading.
         """
         with self._lock:
-            if self._reloading:
+            if self._is_reloading:
                 raise UnavailableError("the records are being read")
-            self._reloading = True
+            self._is_reloading = True
         try:
             self._reload()
         except CompactedError as error:
             raise UnavailableError("the records change faster than they are read") from error
         finally:
             with self._lock:
-                self._reloading = False
+                self._is_reloading = False
 
     def _reload(self) -> None:
         rows, revision = self._store.scan(records.PREFIX)
         keys = {row.key for row in rows}
         with self._lock:
-            self._task_log_stale = True
+            self._is_task_log_stale = True
             deleted = [
                 Row(row.key, None, revision)
-                for known in self._rows.values()
-                for row in known.values()
+                for rows_by_key in self._rows.values()
+                for row in rows_by_key.values()
                 if row.key not in keys and row.version <= revision
             ]
         self.apply([*rows, *deleted], revision)
@@ -189,9 +196,11 @@
             self._rebuild_task_log()
 
     def _stored_layout_bytes(self) -> int | None:
-        """The size that the task log's blocks were laid out for; None if it can't be read. The stored size
-        goes before the settings', or a settings file with a new limit would misread every snapshot there
-        is."""
+        """Return the value size that determines the block size; None if the layout record is invalid.
+
+        The stored size takes precedence over the one from the settings: with the block size of a new limit in
+        the settings file, every existing snapshot would be misread.
+        """
         row = self._row(LAYOUT)
         if row is None:
             return self._layout_bytes
@@ -201,23 +210,25 @@
     def _rebuild_task_log(self) -> None:
         layout_bytes = self._stored_layout_bytes()
         if layout_bytes is None:
-            log.error("task log unreadable: key=%s reason=not a layout", LAYOUT)
+            log.error("task log unreadable: key=%s reason=invalid layout record", LAYOUT)
             return
         if layout_bytes != self.task_log.layout_bytes:
             self.task_log = TaskLog(layout_bytes)
         log_rows = [(row.key, row.version, row.value) for row in self._rows.get(LOG, {}).values()]
         try:
             self.task_log.rebuild(log_rows)
-            self._task_log_stale = False
+            self._is_task_log_stale = False
         except UnreadableError as error:
-            # What an unreadable row held must not pass for never having been: it stays stale, and nobody
-            # starts anything from here.
-            log.error("task log unreadable: %s", error)
+            # The contents of an unreadable row must not be treated as absent: the task log stays stale, so
+            # no leader starts tasks based on it.
+            log.error("task log unreadable: error=%s", error)
 
     def pull(self, wait_s: float) -> None:
-        """One read of changes, waiting up to `wait_s` for the first. UnavailableError or
-        OutcomeUnknownError if the store gives no answer."""
-        if self.revision < 0 or self._task_log_stale:
+        """Read and apply the changes since the cache's revision, waiting up to `wait_s` for the first one.
+
+        Raises UnavailableError or OutcomeUnknownError if the store does not answer.
+        """
+        if self.revision < 0 or self._is_task_log_stale:
             self.reload()
         sent_at = self._clock()
         try:
@@ -226,32 +237,38 @@
             self.reload()
         else:
             self.apply(rows, revision)
-        # Also of a read that waited: it shows at least what was there when it was sent.
+        # Also valid for a read that waited: it returns at least everything committed before it was sent.
         if sent_at > self.as_of:
             self.as_of = sent_at
             self._on_read()
 
-    def with_task_log(self, call: Callable[[TaskLog], T]) -> T:
-        """The result of something short on the task log, under the lock. The caller must not keep the log."""
+    def with_task_log(self, query: Callable[[TaskLog], T]) -> T:
+        """Return the result of `query`, called with the lock held.
+
+        `query` must be short and must not retain a reference to the task log.
+        """
         with self._lock:
             self._require_task_log()
-            return call(self.task_log)
+            return query(self.task_log)
 
     def _require_task_log(self) -> None:
-        if self._task_log_stale:
+        if self._is_task_log_stale:
             raise UnavailableError("the records are being read")
 
     # -- linearizable reads ----------------------------------------------------------------------------
 
     def refresh(self, timeout_s: float) -> bool:
-        """Wait until a read sent after this call has been taken in. False: not possible now."""
+        """Wait until a read that was sent after this call has been applied; return False on failure."""
         if not self._threaded:
             return self._try_pull()
         return self._shared_reads.wait(timeout_s)
 
-    def serve_refreshes(self, gap_s: float) -> None:
-        """The thread behind `refresh`: one read for all who wait, at least `gap_s` apart. Never returns."""
-        self._shared_reads.serve(gap_s)
+    def serve_refreshes(self, pause_s: float) -> None:
+        """Run the reads for `refresh`, one for all waiting callers, with a pause of `pause_s` after each.
+
+        The body of a thread; never returns.
+        """
+        self._shared_reads.serve(pause_s)
 
     def _try_pull(self) -> bool:
         try:
@@ -263,7 +280,7 @@
     # -- reading ---------------------------------------------------------------------------------------
 
     def get(self, key: str) -> Row | None:
-        """One row as cached."""
+        """Return the cached row of a key, None if there is none."""
         with self._lock:
             return self._row(key)
 
@@ -271,30 +288,30 @@
         return self._rows.get(_prefix(key), {}).get(key)
 
     def read_together(self, key: str, prefixes: Iterable[str]) -> tuple[Row | None, list[list[Row]]]:
-        """One row and all rows under each of some prefixes, as of one revision."""
+        """Return one row and all rows under each prefix, read atomically."""
         with self._lock:
             return self._row(key), [list(self._rows.get(prefix, {}).values()) for prefix in prefixes]
 
     def rows_below(self, prefix: str) -> list[Row]:
-        """The rows under one prefix (`records.MEMBERS` and the like), in key order."""
+        """Return the rows under a prefix, such as `records.MEMBERS`, in key order."""
         with self._lock:
             return sorted(self._rows.get(prefix, {}).values(), key=lambda row: row.key)
 
     def has_job(self, job_id: str) -> bool:
-        """Whether there is a record of the job, as far as is known here."""
+        """Return whether the cache has a record of the job."""
         return self.get(records.key(job_id)) is not None
 
     def job_state(self, job_id: str) -> records.State | None:
-        """A job's record and where its tasks stand, or None if there is none.
+        """Return a job's record and the number of its open and done tasks; None if there is no record.
 
-        UnavailableError while the rows are being read again, or if they can't be read.
+        Raises UnavailableError if the record or, where it is needed, the task log is unreadable or reloading.
         """
         with self._lock:
             row = self._row(records.key(job_id))
             if row is None:
                 self._require_task_log()
                 return None
-            record = self._record(row)
+            record = self._decoded_record(row)
             if record.over:
                 return records.State(record, row.version, 0, record.done)
             self._require_task_log()
@@ -303,10 +320,10 @@
                 return records.State(record, row.version)
             return records.State(record, row.version, len(progress.open), len(progress.done))
 
-    def _record(self, row: Row) -> records.Record:
-        known = self._records.get(row.key)
-        if known is not None and known[0] == row.version:
-            return known[1]
+    def _decoded_record(self, row: Row) -> records.Record:
+        cached = self._records.get(row.key)
+        if cached is not None and cached[0] == row.version:
+            return cached[1]
         try:
             record = records.decode(row.value)
         except UnreadableError as error:
@@ -316,47 +333,53 @@
         return record
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Whether the job is known here as cancelled: final, whatever else is not known."""
+        """Return whether the cached record of the job is cancelled, which is final.
+
+        True is therefore never outdated; False may be.
+        """
         with self._lock:
             row = self._row(records.key(job_id))
             try:
-                return row is not None and self._record(row).cancelled > 0
+                return row is not None and self._decoded_record(row).cancelled > 0
             except UnavailableError:
                 return False
 
     def placements_on(self, machine: str) -> list[RecordedPlacement]:
-        """What the records put on a machine, in any of its epochs. UnavailableError if that is not known."""
+        """Return the tasks that are on a machine according to the task log, in any of its epochs.
+
+        Raises UnavailableError if the task log or one of the jobs' records is unreadable or reloading.
+        """
         with self._lock:
             self._require_task_log()
             placements = []
             for (job, task), (attempt, epoch) in self.task_log.placed_on.get(machine, {}).items():
                 row = self._row(records.key(job))
                 if row is not None:
-                    cancelled = self._record(row).cancelled > 0
+                    cancelled = self._decoded_record(row).cancelled > 0
                     placements.append(RecordedPlacement(job, task, attempt, epoch, cancelled))
             return placements
 
     def open_jobs(self) -> list[StoredJob]:
-        """All jobs that are not over, or still have tasks on machines, for a new leader.
+        """Return all jobs that are not final or still have tasks on machines, for a new leader.
 
-        UnavailableError if any can't be read.
+        Raises UnavailableError if a record or the task log is unreadable or reloading.
         """
         with self._lock:
             self._require_task_log()
             jobs = []
             for row in self._rows.get(JOBS, {}).values():
-                record = self._record(row)
+                record = self._decoded_record(row)
                 progress = self.task_log.jobs.get(record.spec.id)
                 if not record.over or (progress is not None and progress.open):
                     jobs.append(StoredJob(record, row.version, progress))
             return jobs
 
     def jobs_since(self, revision: int) -> list[Row]:
-        """The records of jobs that were written after a revision."""
+        """Return the rows of jobs' records that were written after a revision."""
         with self._lock:
             return [row for row in self._rows.get(JOBS, {}).values() if row.version > revision]
 
 
 def _prefix(key: str) -> str:
-    """The first two words of a key, which tell what it holds: `b/j/` of `b/j/req-000001`."""
+    """Return the first two segments of a key, which identify its kind: `b/j/` for `b/j/req-000001`."""
     return key[: key.find("/", len(records.PREFIX)) + 1]
