--- a/bayford/storage/load_summary.py
+++ b/bayford/storage/load_summary.py
@@ -37,7 +37,7 @@
             chunks.append((table, entries))
             free_bytes = value_bytes - MAX_HEADER_BYTES
             entry_bytes = _entry_bytes(name, images, table)
-        while entry_bytes > free_bytes and images:  # drops images until the entry fits
+        while entry_bytes > free_bytes and images:  # too many images for one value: omits the rest
             images = images[: len(images) // 2]
             entry_bytes = _entry_bytes(name, images, table)
         entries.append([name, load, [table.setdefault(image, len(table)) for image in images]])
