--- a/bayford/scheduling/model.py
+++ b/bayford/scheduling/model.py
@@ -1,9 +1,10 @@
-"""What the decisions are about: jobs, tasks, machines and teams, by dense index.
+"""Data model of the scheduling decisions: jobs, placements, machines and machine types.
 
-Names become indices (`Interner`) when they enter the leader's state, so that the hot paths compare small
-integers. Nothing here knows a wire name, a clock or a socket. `Placement`, `Job` and `Machine` are guarded by
-the lock of the leader's state. Unless a comment says otherwise, moments are seconds on the steady clock,
-durations seconds, memory and images GB.
+Names of teams, images, job classes, zones, machine types and machines are interned (`Interner`) when they
+enter the leader's state, so that the hot paths compare small integers. This module has no wire names, no
+clock and no I/O. `Placement`, `Job` and `Machine` are guarded by the lock of the leader's state. Unless a
+comment says otherwise, points in time are seconds on the steady clock, durations are in seconds, and memory
+and image sizes are in GB.
 """
 
 from collections.abc import Iterable
@@ -16,17 +17,17 @@
 
 PRIORITIES = ("idle", "normal", "urgent", "critical")
 ARRAY, GANG, SERVICE = "array", "gang", "service"
-SERVICE_RUN_S = 600.0  # how long a replica is expected to go on, where a guess is needed: it has no end
+SERVICE_RUN_S = 600.0  # run time assumed for a replica where an estimate is needed, since services never end
 URGENT = PRIORITIES.index("urgent")
 EPS = 1e-6
-CHECKPOINT_MARGIN = 1.5  # grace of a task that is stopped, by the time that it says it needs to save
+CHECKPOINT_MARGIN = 1.5  # grace period of a stopped task, as a multiple of its declared checkpoint save time
 
-# Task name and attempt. A bare tuple, since one is made for each task of each heartbeat.
+# Task name and attempt number. A plain tuple, because one is created for each task of each heartbeat.
 AttemptKey = tuple[str, int]
 
 
 class Interner:
-    """A two-way table of names and dense indices; an index never changes its name."""
+    """Two-way table between names and dense indices. An index always keeps its name."""
 
     def __init__(self, names: Iterable[str] = ()) -> None:
         self.names: list[str] = []
@@ -35,7 +36,7 @@
             self.index(name)
 
     def index(self, name: str) -> int:
-        """The index of `name`, given out now if it is new."""
+        """Returns the index of `name`; a new name gets the next index."""
         index = self._index.get(name)
         if index is None:
             index = self._index[name] = len(self.names)
@@ -43,7 +44,7 @@
         return index
 
     def find(self, name: str) -> int | None:
-        """The index of `name` if it has one."""
+        """Returns the index of `name`, or None if the name is unknown."""
         return self._index.get(name)
 
     def __getitem__(self, index: int) -> str:
@@ -54,37 +55,37 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
-    """A job as its user described it. Stored as an array, so the field order is part of the record."""
+    """A job as submitted by its user. Stored as an array, so the field order is part of the stored format."""
 
     id: str
     job_class: str
     team: str
     priority: int  # index into PRIORITIES
-    tasks: int  # how many
-    cpus: float  # of one task, as are gpus and mem_gb
+    tasks: int  # number of tasks
+    cpus: float  # per task, like gpus and mem_gb
     gpus: float
     mem_gb: float
     image: str
     image_gb: float
-    types: list[str] | None  # names of the machine types allowed, None for all
-    zone: str | None  # the only zone allowed, None for all
-    one_zone: bool  # all tasks have to be in the same zone
-    spread: bool  # at most half of the tasks, rounded up, may be in one zone
-    spot: bool  # spot machines are allowed
-    estimate_s: float  # run time of one task as its user guesses it
-    checkpoint_interval_s: float  # 0: it saves no checkpoints
-    checkpoint_save_s: float  # in which it saves one when it is stopped
-    deadline_s: float | None  # after its acceptance
+    types: list[str] | None  # names of the allowed machine types, None for all
+    zone: str | None  # the only allowed zone, None for all
+    one_zone: bool  # all tasks must run in the same zone
+    spread: bool  # at most half of the tasks, rounded up, may run in one zone
+    spot: bool  # whether spot machines are allowed
+    estimate_s: float  # the user's estimate of one task's run time
+    checkpoint_interval_s: float  # 0: the job saves no checkpoints
+    checkpoint_save_s: float  # time that a task needs to save a checkpoint when it is stopped
+    deadline_s: float | None  # seconds after acceptance, None for no deadline
     shape: str = ARRAY  # ARRAY, GANG or SERVICE
 
     @property
     def checkpoint_grace_s(self) -> float:
-        """Seconds that a task which is stopped is given to save."""
+        """Seconds that a stopped task gets to save a checkpoint."""
         return self.checkpoint_save_s * CHECKPOINT_MARGIN
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """One row of the cloud's catalog, with its prices."""
+    """A machine type of the cloud's catalog, with its prices."""
 
     name: str
     cpus: float
@@ -94,11 +95,11 @@
     spot_price: float
     boot_s: float
     fetch_gb_per_s: float  # rate at which a machine fetches images
-    zones: tuple[str, ...]  # where it can be launched; none for a type that the catalog lacks
-    cache_gb: float = 0.0  # size of a machine's image cache; 0: unknown
+    zones: tuple[str, ...]  # zones where it can be launched; empty for a type that is not in the catalog
+    cache_gb: float = 0.0  # size of a machine's image cache, 0 if unknown
 
     def fits(self, spec: JobSpec) -> bool:
-        """Whether one task of the job fits into an empty machine of this type."""
+        """Returns whether one task of the job fits on an empty machine of this type."""
         return (
             spec.cpus <= self.cpus + EPS and spec.gpus <= self.gpus + EPS and spec.mem_gb <= self.mem_gb + EPS
         )
@@ -106,84 +107,92 @@
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """A task on a machine: open from before its start goes out until evidence closes it."""
+    """One attempt of a task on a machine.
+
+    It is open from before its start command is sent until there is evidence that the attempt has ended or can
+    never start.
+    """
 
     job: "Job"
-    task: int  # number of the task in its job
-    attempt: int  # never used twice for a task, whichever leader places it
-    machine: int  # index
-    epoch: int  # of the machine's agent for which it was placed; a later epoch has lost it
-    task_id: str  # the task's name on the wire
-    placed_at: float = 0.0  # 0: by an earlier leader
-    durable: bool = False  # committed: only then may its start go out
-    started: bool = False  # a heartbeat of the machine has listed it
-    running_since: float | None = None  # None: not seen running yet
-    stopping: bool = False  # its stop is decided; it is open until the machine's heartbeat shows its end
-    stop_grace_s: float = 0.0  # seconds that it gets to save a checkpoint
-    stop_sent: bool = False  # by a direct command
-    unpreemptable: bool = False  # it was placed because its job had waited long: nothing preempts it
+    task: int  # number of the task within its job
+    attempt: int  # unique among all attempts of the task, across leaders
+    machine: int  # index of the machine
+    epoch: int  # worker's epoch for which it was placed; a worker in a later epoch has lost the task
+    task_id: str  # name of the task on the wire
+    placed_at: float = 0.0  # 0 if an earlier leader placed it
+    durable: bool = False  # committed to the key-value store; the start command is sent only after that
+    started: bool = False  # a heartbeat of the machine has listed the attempt
+    running_since: float | None = None  # None until a heartbeat shows it running
+    stopping: bool = False  # the stop is decided; the placement stays open until a heartbeat shows its end
+    stop_grace_s: float = 0.0  # seconds that the task gets to save a checkpoint
+    stop_sent: bool = False  # the stop was sent as a direct command
+    unpreemptable: bool = False  # placed because its job had waited long; it is never preempted
 
     @property
     def key(self) -> AttemptKey:
-        """Task name and attempt."""
+        """The task name and the attempt number."""
         return (self.task_id, self.attempt)
 
     @property
     def placed_here(self) -> bool:
-        """Whether this leader has placed it, and not an earlier one."""
+        """Whether this leader placed it, rather than an earlier one."""
         return self.placed_at > 0.0
 
 
 class Downtime(NamedTuple):
-    """A replica of a service that was running and is not."""
+    """The current downtime of a service's replica that ran before."""
 
-    noticed_at: float  # steady clock, seconds
-    unnoticed_s: float  # how long it may have been down by then: since its machine's last heartbeat
+    noticed_at: float  # when the leader detected it, in seconds on the steady clock
+    unnoticed_s: float  # upper bound of the downtime before that: time since the machine's last heartbeat
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job that the leader decides about. Tasks are numbers from 0 to `spec.tasks - 1`."""
+    """The leader's state of a job. Tasks are numbered from 0 to `spec.tasks - 1`."""
 
     spec: JobSpec
-    team: int  # index, as are the image, the class, the zone and the types
+    team: int  # index, like image, job_class, zone and types
     image: int
     job_class: int
-    zone: int | None  # the only zone allowed, None for all
-    types: frozenset[int] | None  # the machine types allowed, None for all
-    created: float  # when it was accepted; may lie before this process began
-    created_wall: float  # the same as time of day
-    done: set[int] = field(default_factory=set)  # tasks
-    open: dict[int, Placement] = field(default_factory=dict)  # by task
-    waiting: list[int] = field(default_factory=list)  # a stack of tasks: the next one is last
+    zone: int | None  # the only allowed zone, None for all
+    types: frozenset[int] | None  # the allowed machine types, None for all
+    created: float  # when it was accepted; may be earlier than the start of this process
+    created_wall: float  # when it was accepted, in seconds on the wall clock
+    done: set[int] = field(default_factory=set)  # completed tasks
+    open: dict[int, Placement] = field(default_factory=dict)  # open placement by task
+    waiting: list[int] = field(default_factory=list)  # stack of waiting tasks; the last one is placed next
     cancelled: bool = False
     cancelled_at: float = 0.0  # when the cancellation was confirmed
-    cancel_known: float = 0.0  # when this controller learned of it
-    version: int = 0  # of its record in the key-value store
-    placed_at: float = NEVER  # when a task of it was last put on a machine
-    not_before: float = 0.0  # back-off: no task of it is placed earlier
-    errors: int = 0  # tasks that failed
-    backoff_count: int = 0  # how often it was backed off because it failed everywhere
-    failed_on: set[int] = field(default_factory=set)  # machines that it avoids
-    hints: dict[int, int] = field(default_factory=dict)  # task -> machine that the balancer chose for it
-    # Replicas of a service that ended by themselves: how often in a row, and until when those that end again
-    # and again are backed off. Each by itself, so that one that can't run delays none of the others.
+    cancel_known: float = 0.0  # when this controller learned of the cancellation
+    version: int = 0  # version of its record in the key-value store
+    placed_at: float = NEVER  # when a task of the job was last placed
+    not_before: float = 0.0  # back-off: no task of the job is placed before this time
+    errors: int = 0  # number of task failures
+    backoff_count: int = 0  # number of back-offs of the whole job so far; each one lasts longer
+    failed_on: set[int] = field(default_factory=set)  # machines where a task failed; the job avoids them
+    hints: dict[int, int] = field(default_factory=dict)  # task -> machine that it is being migrated to
+    # For replicas of a service that exit by themselves: the number of exits in a row, and when the back-off
+    # of a replica that exits repeatedly ends. Kept per replica, so that a failing one does not delay the
+    # others.
     consecutive_exits: dict[int, int] = field(default_factory=dict)
     backing_off: dict[int, float] = field(default_factory=dict)
-    down_since: dict[int, Downtime] = field(default_factory=dict)  # by replica
-    # How often each task was preempted, as far as this leader knows.
+    down_since: dict[int, Downtime] = field(default_factory=dict)  # by replica, for those that are down
+    # Number of preemptions by task, counted by this leader only.
     preemption_counts: dict[int, int] = field(default_factory=dict)
-    spot_hosts: bool = True  # whether the fleet has spot machines that it may run on
-    why_waiting: str = ""  # for the log
+    spot_hosts: bool = True  # whether the fleet, launching machines included, has spot machines for the job
+    why_waiting: str = ""  # reason that the log gives for the wait
 
     @property
     def is_service(self) -> bool:
-        """A service: it has no end but its cancellation."""
+        """Whether the job is a service, which runs until it is cancelled."""
         return self.spec.shape == SERVICE
 
     def requeue_backed_off(self, now: float) -> None:
-        """Replicas whose back-off is over wait again, for any machine: on a small site there may be none left
-        on which nothing of the job has ever failed. Only while there are such replicas."""
+        """Requeue replicas whose back-off has expired. Call only while some replica is backed off.
+
+        If there are any, `failed_on` is cleared first: on a small site the job may have failed on every
+        machine and would otherwise find none left.
+        """
         if min(self.backing_off.values()) <= now:
             self.failed_on.clear()
         for task in [t for t, until in self.backing_off.items() if until <= now]:
@@ -192,21 +201,21 @@
 
     @property
     def finished(self) -> bool:
-        """All tasks done. A done job is never cancelled afterwards."""
+        """Whether all tasks are done. A finished job is never cancelled afterwards."""
         return len(self.done) == self.spec.tasks
 
     def note_preemption(self, task: int) -> None:
-        """The task is preempted."""
+        """Count one preemption of the task."""
         self.preemption_counts[task] = self.preemption_counts.get(task, 0) + 1
 
     def requeue(self, task: int) -> None:
-        """Put a task that was on a machine back in front of the queue, unless it is done or cancelled."""
+        """Put a task back at the head of the job's queue, unless the task is done or the job cancelled."""
         if task not in self.done and not self.cancelled:
             self.waiting.append(task)
 
 
 class SentCommand(NamedTuple):
-    """A command as it was sent, whose effect a later heartbeat has to show."""
+    """A command in the last answer to a worker; the next heartbeat should show its effect."""
 
     task_id: str
     attempt: int
@@ -215,51 +224,51 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A launched machine as its last heartbeat and the cloud's last list show it."""
+    """A launched machine, as described by its last heartbeat and by the cloud's last list of machines."""
 
     index: int
     name: str
-    type: int | None = None  # index; None until a heartbeat or the cloud's list has named it
+    type: int | None = None  # index; None until a heartbeat or the cloud's list gives it
     zone: int | None = None  # index; None until known
     spot: bool = False
-    cpus: float = 0.0  # 0 until its type is known, as are gpus and mem_gb
+    cpus: float = 0.0  # 0 until the type is known, like gpus and mem_gb
     gpus: float = 0.0
     mem_gb: float = 0.0
-    address: str = ""  # of its agent, for direct commands
-    epoch: int = 0  # of its agent
-    sequence: int = -1  # of its last heartbeat in this epoch
-    last_heartbeat_at: float = 0.0  # last heartbeat, or when this controller first knew of it
-    registered: bool = False  # a heartbeat of it has come to this controller
-    token_acknowledged: bool = False  # a heartbeat has named this term's fencing token: it gets answers
-    sent_commands: list[SentCommand] = field(default_factory=list)  # of the last answer
-    unacknowledged: int = 0  # answers in a row without any effect in the heartbeats after them
-    last_answered_at: float = NEVER  # when the last answer left
-    lease_expiries: int = 0  # epochs that ended although it was answered, since it last acted on an answer
-    relay: str = ""  # the controller that its last heartbeat came through, empty if it came directly
+    address: str = ""  # address of its worker, for direct commands
+    epoch: int = 0  # current epoch of its worker
+    sequence: int = -1  # sequence number of the last heartbeat in this epoch
+    last_heartbeat_at: float = 0.0  # before the first heartbeat: when this controller learned of it
+    registered: bool = False  # this controller has received a heartbeat of it
+    token_acknowledged: bool = False  # a heartbeat has carried this term's fencing token, so it is answered
+    sent_commands: list[SentCommand] = field(default_factory=list)  # commands in the last answer
+    unacknowledged: int = 0  # consecutive answers whose commands had no effect in the heartbeats after them
+    last_answered_at: float = NEVER  # when the last answer was sent
+    lease_expiries: int = 0  # leases that expired despite timely answers, since the last effective answer
+    relay: str = ""  # controller that relayed its last heartbeat, empty if the heartbeat came directly
     launched_at: float = 0.0
-    listed: bool = False  # the cloud's list has had it
-    missing_from_lists: int = 0  # how often the list lacked it afterwards
-    reclaim_at: float | None = None  # when the cloud reclaims it, if it has given notice
-    quarantined: bool = False  # it gets no more work
-    lost: bool = False  # it is unresponsive or has stopped: what runs there, if anything does, is of no use
+    listed: bool = False  # the cloud's list has contained it
+    missing_from_lists: int = 0  # consecutive lists of the cloud without it, after it had been listed
+    reclaim_at: float | None = None  # when the cloud reclaims it, None without a reclaim notice
+    quarantined: bool = False  # no new tasks are placed on it
+    lost: bool = False  # unresponsive or stopped; nothing is expected of tasks that may still run there
     deleting: bool = False  # its deletion is decided
-    failed_jobs: dict[str, int] = field(default_factory=dict)  # job id -> tasks that failed, none done since
+    failed_jobs: dict[str, int] = field(default_factory=dict)  # job id -> failures since the last success
     failed_at: float = NEVER  # when a task last failed on it
     completed_tasks: int = 0
-    idle_since: float = 0.0  # 0 while it has placements
-    # image -> fetched (False: on its way), the one used last at the end
+    idle_since: float = 0.0  # 0 while it has open placements
+    # image -> whether it is fetched (False: being fetched), in order of last use, the most recent at the end
     images: dict[int, bool] = field(default_factory=dict)
     open: dict[AttemptKey, Placement] = field(default_factory=dict)
-    free_cpus: float = 0.0  # not reserved by placements; below 0 while the type is not known
+    free_cpus: float = 0.0  # capacity not reserved by placements; may be negative while the type is unknown
     free_gpus: float = 0.0
     free_mem: float = 0.0  # GB
-    backoff_until: float = 0.0  # no task is placed on it earlier
-    reserved_for: str = ""  # the job for which capacity is being freed here
-    reserved_until: float = 0.0
+    backoff_until: float = 0.0  # no task is placed on the machine before this time
+    reserved_for: str = ""  # id of the job for which capacity is being freed on the machine
+    reserved_until: float = 0.0  # until then, only tasks of that job are placed on the machine
 
     @property
     def usable(self) -> bool:
-        """Whether new tasks may go there."""
+        """Whether new tasks may be placed on the machine."""
         return (
             self.token_acknowledged
             and self.type is not None
@@ -268,19 +277,19 @@
         )
 
     def reserve(self, spec: JobSpec) -> None:
-        """Count one task against the machine's capacity."""
+        """Reserve the capacity of one task."""
         self.free_cpus -= spec.cpus
         self.free_gpus -= spec.gpus
         self.free_mem -= spec.mem_gb
 
     def release(self, spec: JobSpec) -> None:
-        """Undo `reserve` for one task."""
+        """Release the reserved capacity of one task."""
         self.free_cpus += spec.cpus
         self.free_gpus += spec.gpus
         self.free_mem += spec.mem_gb
 
     def has_room(self, spec: JobSpec) -> bool:
-        """Whether one task fits beside everything reserved."""
+        """Returns whether the unreserved capacity suffices for one task."""
         return (
             spec.cpus <= self.free_cpus + EPS
             and spec.gpus <= self.free_gpus + EPS
