--- a/bayford/scheduling/__init__.py
+++ b/bayford/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without I/O, clock or global randomness."""
+"""Scheduling decisions as pure code: no I/O, no clock, no global random state."""
--- a/bayford/scheduling/capacity_index.py
+++ b/bayford/scheduling/capacity_index.py
@@ -1,9 +1,10 @@
-"""Machines with free capacity, indexed: the best ones for a job are found without a search of the fleet.
+"""Index of the machines with free capacity, which finds the best machines for a job without a fleet scan.
 
-The order is that of `placement_rules.score`: machines that hold the image, then those that fetch it, then the
-rest; in each, spot before on-demand ones, the fullest first, the lowest number first. Machines of one pool
-with the same free CPUs lie in one bucket, in the order of their numbers; a search goes through the buckets
-in the order of the score and stops when it has enough. Pure: no clock, no I/O.
+The order is that of `placement_rules.score`: machines that hold the image, then those that are fetching it,
+then the rest; within each group spot machines before on-demand ones, then by ascending free CPUs, then by
+ascending machine index. Machines of one pool with the same free CPUs share a bucket, sorted by machine index.
+A search visits the buckets in the order of the score and stops when it has found enough machines. Pure: no
+clock, no I/O.
 """
 
 import bisect
@@ -17,7 +18,7 @@
 
 
 class BucketKey(NamedTuple):
-    """What the machines of a bucket have in common."""
+    """The properties that all machines of a bucket share."""
 
     type: int | None
     zone: int | None
@@ -27,25 +28,26 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    free_cpus: float  # of the first machine in it, unrounded
-    free_share: float  # the same as a share of its CPUs
-    indices: list[int] = field(default_factory=list)  # of machines, ascending
+    free_cpus: float  # free CPUs of the first machine added, unrounded
+    free_share: float  # `free_cpus` as a share of that machine's CPUs
+    indices: list[int] = field(default_factory=list)  # machine indices, ascending
 
 
 class CapacityIndex:
-    """The machines that have some CPU or GPU free. Called under the lock of the leader's state."""
+    """The machines with free CPUs or GPUs. The lock of the leader's state must be held."""
 
     def __init__(self) -> None:
         self.machines: dict[int, Machine] = {}
         self._keys: dict[int, BucketKey] = {}
         self._buckets: dict[BucketKey, _Bucket] = {}
-        self._holders: dict[int, set[int]] = {}  # machines by image, those without free capacity too
+        # Indices of the machines that hold or are fetching an image, by image; includes full machines.
+        self._holders: dict[int, set[int]] = {}
 
     def __len__(self) -> int:
         return len(self.machines)
 
     def update(self, machine: Machine) -> None:
-        """The machine's reserved capacity, or what is known of the machine, has changed."""
+        """Update the index after a change of the machine's free capacity, type, zone or spot flag."""
         old_key = self._keys.get(machine.index)
         new_key: BucketKey | None = None
         if machine.free_cpus > EPS or machine.free_gpus > EPS:
@@ -53,31 +55,31 @@
         if new_key == old_key:
             return
         if old_key is not None:
-            self._take_out(machine.index, old_key)
+            self._delete(machine.index, old_key)
         if new_key is not None:
-            self._put_in(machine, new_key)
+            self._insert(machine, new_key)
 
     def remove(self, machine: Machine) -> None:
-        """The machine is gone."""
+        """Remove a machine that no longer exists, with its images."""
         key = self._keys.get(machine.index)
         if key is not None:
-            self._take_out(machine.index, key)
+            self._delete(machine.index, key)
         for image in machine.images:
             self.dropped(machine, image)
 
     def holds(self, machine: Machine, image: int) -> None:
-        """The machine has the image, or fetches it."""
+        """Record that the machine holds the image or is fetching it."""
         self._holders.setdefault(image, set()).add(machine.index)
 
     def dropped(self, machine: Machine, image: int) -> None:
-        """The machine no longer has the image."""
+        """Record that the machine no longer has the image."""
         holders = self._holders.get(image)
         if holders is not None:
             holders.discard(machine.index)
             if not holders:
                 del self._holders[image]
 
-    def _put_in(self, machine: Machine, key: BucketKey) -> None:
+    def _insert(self, machine: Machine, key: BucketKey) -> None:
         bucket = self._buckets.get(key)
         if bucket is None:
             share = machine.free_cpus / max(machine.cpus, EPS)
@@ -86,7 +88,7 @@
         self._keys[machine.index] = key
         self.machines[machine.index] = machine
 
-    def _take_out(self, index: int, key: BucketKey) -> None:
+    def _delete(self, index: int, key: BucketKey) -> None:
         bucket = self._buckets[key]
         del bucket.indices[bisect.bisect_left(bucket.indices, index)]
         if not bucket.indices:
@@ -97,27 +99,30 @@
     def best(
         self, job: Job, count: int, may_take: Callable[[Machine], bool], with_image_only: bool = False
     ) -> list[Machine]:
-        """Up to `count` machines with room for a task of the job, the best first.
+        """Returns up to `count` machines with free capacity for a task of the job, the best first.
 
-        `may_take` says whether a machine may be used at all, free capacity aside. `with_image_only`: none
-        that would have to begin a fetch.
+        `may_take` returns whether a machine may be used at all, regardless of its free capacity.
+        `with_image_only`: only machines that hold the image or are already fetching it.
         """
-        best = self._holding(job, count, may_take)
+        best = self._best_with_image(job, count, may_take)
         if with_image_only or len(best) >= count:
             return best
-        taken = {machine.index for machine in best}
-        for machine in self._in_order(job):
-            if machine.index not in taken and job.image not in machine.images and may_take(machine):
+        chosen = {machine.index for machine in best}
+        for machine in self._fitting_machines(job):
+            if machine.index not in chosen and job.image not in machine.images and may_take(machine):
                 best.append(machine)
                 if len(best) == count:
                     break
         return best
 
     def least_loaded(self, job: Job, count: int, may_take: Callable[[Machine], bool]) -> list[Machine]:
-        """Machines with room for a task of the job to choose from by load: up to `count` of the least loaded
-        and as many of those that hold the job's image or fetch it."""
+        """Returns candidates for a placement by load, all with free capacity for a task of the job.
+
+        They are up to `count` of the least loaded machines, and up to `count` of the least loaded ones that
+        hold the job's image or are fetching it.
+        """
         candidates = {}
-        for machine in self._in_order(job, emptiest=True):
+        for machine in self._fitting_machines(job, least_loaded_first=True):
             if may_take(machine):
                 candidates[machine.index] = machine
                 if len(candidates) == count:
@@ -131,8 +136,8 @@
             candidates[machine.index] = machine
         return list(candidates.values())
 
-    def _holding(self, job: Job, count: int, may_take: Callable[[Machine], bool]) -> list[Machine]:
-        """The best machines that hold or fetch the job's image."""
+    def _best_with_image(self, job: Job, count: int, may_take: Callable[[Machine], bool]) -> list[Machine]:
+        """Returns the best machines that hold the job's image or are fetching it."""
         holders = self._holders.get(job.image)
         if not holders or not self.machines:
             return []
@@ -143,10 +148,10 @@
                 if machine is not None and machine.has_room(job.spec) and may_take(machine)
             )
             return heapq.nsmallest(count, fitting, key=lambda machine: placement_rules.score(job, machine))
-        # So many hold it that a walk in the order of the score meets enough of them soon.
+        # So many machines hold the image that iterating in the order of the score finds enough of them early.
         with_image: list[Machine] = []
         fetching: list[Machine] = []
-        for machine in self._in_order(job):
+        for machine in self._fitting_machines(job):
             fetched = machine.images.get(job.image)
             if fetched is None or (not fetched and len(fetching) == count) or not may_take(machine):
                 continue
@@ -155,11 +160,14 @@
                 break
         return (with_image + fetching)[:count]
 
-    def _in_order(self, job: Job, emptiest: bool = False) -> Iterator[Machine]:
-        """All machines with room for a task of the job by the score, images aside; or the emptiest first."""
+    def _fitting_machines(self, job: Job, least_loaded_first: bool = False) -> Iterator[Machine]:
+        """Yields all machines with free capacity for a task of the job.
+
+        They come in the order of the score without regard to images, or by ascending load.
+        """
         spec = job.spec
         fitting = [
-            (-bucket.free_share if emptiest else float(not key.spot), bucket.free_cpus, bucket)
+            (-bucket.free_share if least_loaded_first else float(not key.spot), bucket.free_cpus, bucket)
             for key, bucket in self._buckets.items()
             if bucket.free_cpus + EPS >= spec.cpus
             and (spec.spot or not key.spot)
@@ -169,7 +177,7 @@
         fitting.sort(key=lambda entry: entry[:2])
         begin = 0
         while begin < len(fitting):
-            # Buckets of one rank, of several types or zones, are walked together.
+            # Buckets of equal rank, which differ by type or zone, are merged by machine index.
             end = begin + 1
             while end < len(fitting) and fitting[end][:2] == fitting[begin][:2]:
                 end += 1
--- a/bayford/scheduling/placement_rules.py
+++ b/bayford/scheduling/placement_rules.py
@@ -1,19 +1,20 @@
-"""Which machine a waiting task goes to.
+"""Rules that choose the machine for a waiting task.
 
-Pure: reads the machines' reserved capacity and the job's own open placements, and leaves them as they are.
+Pure: the functions read the machines' free capacity and the job's open placements and leave them unchanged.
 """
 
 from collections.abc import Callable, Iterable, Sequence
 
 from bayford.scheduling.model import Job, Machine
 
-# For so long after a run has failed there a machine gets no replicas. No longer: a job that fails everywhere
-# would otherwise close all machines to services, whose replicas never end and so never show a machine sound.
+# Seconds after a task failure during which a machine gets no replicas. The time is limited because a job that
+# fails on every machine would otherwise exclude all machines from services for good: replicas never complete,
+# so they never show a machine to be healthy.
 FAILURE_MEMORY_S = 15.0
 
 
 def placements_by_zone(job: Job, zone_of: Callable[[int], int | None]) -> dict[int, int]:
-    """How many open placements the job has in each zone."""
+    """Returns the number of the job's open placements by zone. Machines of unknown zone are not counted."""
     zone_counts: dict[int, int] = {}
     for placement in job.open.values():
         zone = zone_of(placement.machine)
@@ -23,8 +24,11 @@
 
 
 def zone_allowed(job: Job, zone: int, zone_counts: dict[int, int]) -> bool:
-    """Whether a task of the job may go to the zone, given its open placements: its only zone, a gang or array
-    in one zone, an array spread over zones."""
+    """Returns whether the job's zone rules allow another task in the zone.
+
+    The rules are: the job's only allowed zone, all tasks in one zone, and tasks spread over zones.
+    `zone_counts` is the number of the job's open placements by zone.
+    """
     if job.zone is not None and zone != job.zone:
         return False
     if job.spec.one_zone and any(used != zone for used in zone_counts):
@@ -33,12 +37,12 @@
 
 
 def type_allowed(job: Job, machine: Machine) -> bool:
-    """Whether the job allows the machine's type, and spot machines if it is one."""
+    """Returns whether the job allows the machine's type and, for a spot machine, spot machines."""
     return (job.types is None or machine.type in job.types) and (job.spec.spot or not machine.spot)
 
 
 def eligible(job: Job, machine: Machine, zone_counts: dict[int, int], now: float) -> bool:
-    """Whether a task of the job may start on the machine now, room not considered."""
+    """Returns whether a task of the job may start on the machine now, regardless of free capacity."""
     return (
         machine.usable
         and machine.backoff_until <= now
@@ -53,26 +57,36 @@
 def candidates(
     job: Job, machines: Iterable[Machine], zone_counts: dict[int, int], now: float
 ) -> list[Machine]:
-    """The machines where a task of the job may start now, room not considered."""
+    """Returns the machines on which a task of the job may start now, regardless of free capacity."""
     return [m for m in machines if eligible(job, m, zone_counts, now)]
 
 
 def score(job: Job, machine: Machine) -> tuple[float, ...]:
-    """Smaller is better: image there, then being fetched; spot before on-demand; then the fullest machine,
-    so that others empty."""
+    """Returns the rank of a machine for a task of the job; lower is better.
+
+    Machines that hold the image come first, then those that are fetching it, then the rest. Within each group
+    spot machines come before on-demand ones, and then the machine with the fewest free CPUs comes first, so
+    that other machines become idle.
+    """
     fetched = machine.images.get(job.image)
     image = 0.0 if fetched else 1.0 if fetched is not None else 2.0
     return (image, 0.0 if machine.spot else 1.0, machine.free_cpus - job.spec.cpus, machine.index)
 
 
 def ranked(job: Job, machines: Sequence[Machine]) -> list[Machine]:
-    """Those with room, the best first. What is placed on the best makes it fuller and so better still: the
-    order holds while a job's tasks go to one after the other."""
+    """Returns the machines with free capacity for a task of the job, the best first.
+
+    The order stays valid while the job's tasks fill one machine after the other: a placement on the best
+    machine leaves it with fewer free CPUs, which improves its score.
+    """
     return sorted((m for m in machines if m.has_room(job.spec)), key=lambda m: score(job, m))
 
 
 def first_with_room(job: Job, machines: list[Machine]) -> Machine | None:
-    """The first of `machines` (as `ranked` gave them) that has room still; those before it are dropped."""
+    """Returns the first machine of `machines`, a result of `ranked`, that still has free capacity.
+
+    Machines before it are removed from the list. Returns None if none has free capacity.
+    """
     while machines:
         if machines[0].has_room(job.spec):
             return machines[0]
@@ -83,12 +97,14 @@
 def replica_rank(
     job: Job, machine: Machine, zone_counts: dict[int, int], fetch_s: float, spread_s: float
 ) -> tuple[float, ...]:
-    """Smaller is better, for one replica of a service, which has to be up soon and to outlive a loss.
-
-    First where the image is, or is fetched soonest and alone, and where no replica of the job is yet, so
-    that a loss takes few: each that is there counts as `spread_s` more of fetching. Then the zone with the
-    fewest replicas; then machines that have services already, so that others can go back, and the fullest of
-    these.
+    """Returns the rank of a machine for one replica of a service; lower is better.
+
+    A replica has to start soon, and the loss of one machine should affect few replicas of the job. The first
+    criterion is therefore the expected seconds to fetch the image plus `spread_s` for each replica of the job
+    on the machine. `fetch_s` is the fetch time on an otherwise idle link; a fetch that is under way counts
+    for 0.7 of it, and one that would share the link with other fetches for twice as much. The next criteria
+    prefer zones with few replicas of the job, then machines that already run services, so that others can be
+    returned, and then machines with few free CPUs.
     """
     replicas = sum(placement.job is job for placement in machine.open.values())
     fetching = any(not done for image, done in machine.images.items() if image != job.image)
@@ -100,13 +116,20 @@
 
 
 def is_stable(machine: Machine, now: float, max_silence_s: float) -> bool:
-    """Whether a replica may go there: a heartbeat has come lately, and nothing has just failed there."""
+    """Returns whether a replica may be placed on the machine.
+
+    That needs a heartbeat within the last `max_silence_s` seconds and no task failure within the last
+    `FAILURE_MEMORY_S` seconds.
+    """
     return now - machine.last_heartbeat_at <= max_silence_s and now - machine.failed_at > FAILURE_MEMORY_S
 
 
 def choose_gang(job: Job, machines: Sequence[Machine], count: int) -> list[Machine] | None:
-    """Machines for `count` tasks at once, zone rules kept among them, or None. Each machine is reserved while
-    the next is chosen; all are released again at the end."""
+    """Returns machines for `count` tasks that start together, or None if they don't all fit.
+
+    The job's zone rules are applied among the chosen machines. Capacity is reserved for each task while the
+    next one's machine is chosen, and all of it is released before the function returns.
+    """
     zones = sorted({m.zone for m in machines if m.zone is not None})
     groups = (
         [[m for m in machines if m.zone == zone] for zone in zones] if job.spec.one_zone else [list(machines)]
--- a/bayford/scheduling/policy.py
+++ b/bayford/scheduling/policy.py
@@ -1,9 +1,10 @@
-"""Everything about scheduling that an operator may set, with its defaults."""
+"""The scheduling settings that operators can change, with their defaults."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-# Fields of `Policy` whose names in the operators' script differ: the names in scripts stay as they are.
+# Names in the operators' script of the `Policy` fields that are called differently there. The script names
+# stay unchanged, so that existing scripts remain valid.
 SETTING_NAMES: Mapping[str, str] = {
     "service_share": "standing_share",
     "service_floor": "standing_floor",
@@ -14,18 +15,18 @@
 
 
 def setting_name(field_name: str) -> str:
-    """The name by which the operators' script sets a field of `Policy`."""
+    """Returns the name in the operators' script of a field of `Policy`."""
     return SETTING_NAMES.get(field_name, field_name)
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Values that the operators' script may replace. `deploy/policy.star` says what each is for.
+    """Settings that the operators' script can override; `deploy/policy.star` describes each of them.
 
-    Names that end in `_s` are seconds, in `_share` a part of 1, in `_weight` a factor.
+    Fields ending in `_s` are in seconds, those in `_share` are fractions of 1, those in `_weight` factors.
     """
 
-    # order of service
+    # order in which waiting jobs are served
     aging_s: float = 60.0
     guarantee_first: bool = True
     image_share: float = 0.1
@@ -38,7 +39,7 @@
     preempt_wait_s: float = 0.4
     guarantee_wait_s: float = 300.0
     fetch_weight: float = 8.0
-    # machines: launching and returning them
+    # launching and deleting machines
     ordinary_after_s: float = 1e9
     target_margin: float = 1.0
     patience_s: float = 2.0
@@ -54,12 +55,12 @@
     service_boot_times: float = 0.75
     service_quiet_heartbeats: float = 2.5
     spread_s: float = 6.0
-    # failing runs
+    # failing tasks
     job_fault_machines: int = 3
     # answers to heartbeats
     hold_s: float = 1.2
     hold_idle_s: float = 1.5
-    # the balancer
+    # balancer
     balance_every_s: float = 1.0
     balance_share: float = 0.02
     balance_trials: int = 4
--- a/bayford/scheduling/preemption.py
+++ b/bayford/scheduling/preemption.py
@@ -1,7 +1,8 @@
-"""Which task is stopped so that waiting work can run, and what that loses.
+"""Chooses the tasks to preempt for waiting work, and estimates what their preemption costs.
 
-PROTOCOL "Preemption": a lower priority may be stopped for a higher one; borrowed work may be stopped to
-give a team its guarantee; nothing else. Pure: reads jobs, placements and machines, changes nothing.
+PROTOCOL "Preemption": work of a lower priority may be stopped for work of a higher one, and work beyond its
+team's guarantee may be stopped to give another team its guarantee; nothing else is allowed. Pure: the
+functions read jobs, placements and machines and leave them unchanged.
 """
 
 import math
@@ -11,59 +12,61 @@
 from bayford.scheduling.model import EPS, Job, JobSpec, Machine, Placement
 from bayford.scheduling.quota import TeamQuota
 
-# Weights of `delay_cost`, in expected run times of the task.
-REPEATED_STOP = 0.5
-MISSED_DEADLINE = 2.0
-MIN_LEFT = 0.1  # a task that runs for longer than expected is taken to need so much more
-LAST_TASK = 1.5  # the longest task of an array, against the mean
-RESTART_S = 10.0  # until a stopped task runs again, its image fetched
+# Constants of `delay_cost`. Those without a unit are multiples of the task's expected run time.
+REPEATED_STOP = 0.5  # cost for each earlier preemption of the task
+MISSED_DEADLINE = 2.0  # cost of a preemption that makes the job miss its deadline
+MIN_REMAINING_RUN = 0.1  # minimum remaining run time, also of a task that has exceeded its expected run time
+LONGEST_TASK_RUN = 1.5  # run time of the longest task of an array, relative to the mean
+RESTART_S = 10.0  # time until a stopped task runs again, including the image fetch
 
 
 @dataclass(frozen=True, slots=True)
 class Victim:
-    """A running task that may be stopped, and the seconds of work that stopping it throws away."""
+    """A running task that may be preempted."""
 
     job: Job
     placement: Placement
-    loss: float
+    loss: float  # lost work and delay if it is stopped, in seconds
 
 
 @dataclass(slots=True)
 class PreemptionOption:
-    """Tasks to stop on one machine, which makes room for one waiting task."""
+    """Tasks on one machine whose preemption frees the capacity for one waiting task."""
 
-    machine: int
+    machine: int  # index
     victims: list[Victim]
-    cost: float  # CPU seconds: the work that the stops throw away, and what the preemptor adds
+    cost: float  # CPU seconds: the loss of the victims, and the costs that the preemptor adds
 
 
 def may_stop(waiting: Job, running: Job, quotas: list[TeamQuota], unmet_guarantee: bool) -> bool:
-    """Whether PROTOCOL lets `waiting` preempt a task of `running`.
+    """Returns whether PROTOCOL allows `waiting` to preempt a task of `running`.
 
-    `quotas` must be as they will be once the stops under way are through; else two teams that both waited
-    would stop one another's tasks in turn. `unmet_guarantee`: the waiting job has waited long for what its
-    team is guaranteed.
+    `quotas` must not count the placements that are being stopped; otherwise two teams with waiting work would
+    preempt each other's tasks in turn. `unmet_guarantee`: the waiting job has waited long for capacity within
+    its team's guarantee.
     """
     if waiting is running:
         return False
     if waiting.spec.priority > running.spec.priority:
         return True
     if running.is_service:
-        # Its team may exceed its guarantee only by the work that ends beside the service; and a gap in one
-        # service is no better than in another. Machines are launched instead.
+        # The service's team may exceed its guarantee only because of other work that ends by itself, and a
+        # missing replica of this service is no better than one of the waiting service. Machines are launched
+        # instead.
         return False
     return unmet_guarantee and waiting.team != running.team and quotas[running.team].exceeds_guarantee
 
 
 def stop_grace_s(spec: JobSpec) -> float:
-    """How long a task that is stopped is given to save its progress, 0 if it saves none."""
+    """Returns the seconds that a stopped task gets to save a checkpoint, 0 if the job saves none."""
     return spec.checkpoint_grace_s if spec.checkpoint_interval_s > 0 else 0.0
 
 
 def lost_work(job: Job, placement: Placement, now: float, expected_s: float) -> float:
-    """Seconds of work lost by stopping now; a task close to its end is a poor victim, so that adds.
+    """Returns the seconds of work that are lost if the task is stopped now.
 
-    A checkpointing task loses only what saving costs; others lose all they have run.
+    A checkpointing task loses only the time for saving a checkpoint; any other task loses all work done so
+    far. A task close to its end gets a surcharge, because it would soon release its capacity by itself.
     """
     if placement.running_since is None:
         return 0.0
@@ -76,34 +79,38 @@
 
 
 def delay_cost(job: Job, placement: Placement, now: float, expected_s: float, due_s: float | None) -> float:
-    """What stopping the task costs its job beyond the lost work, in seconds.
+    """Returns what stopping the task costs its job beyond the lost work, in seconds.
 
     `due_s`: how long after its creation the job should be done, None without a deadline or objective.
 
-    The task that was started last has the least to lose, so by lost work alone the same one is stopped again
-    and again, and a job of a thousand tasks waits for its last one. A job that has tasks waiting anyway loses
-    no time by one more. Checkpointing tasks and services keep what they have done.
+    The task that started last always has the least work to lose. By lost work alone the same task would be
+    stopped repeatedly, and a job of a thousand tasks would wait for its last one. A job that has other tasks
+    waiting is hardly delayed by one more. The cost is 0 for checkpointing tasks and for services, which lose
+    no progress.
     """
     if job.is_service or job.spec.checkpoint_interval_s > 0:
         return 0.0
     cost = REPEATED_STOP * expected_s * job.preemption_counts.get(placement.task, 0)
     ran_s = 0.0 if placement.running_since is None else now - placement.running_since
-    ends_at = now + max(MIN_LEFT * expected_s, expected_s - ran_s)
+    ends_at = now + max(MIN_REMAINING_RUN * expected_s, expected_s - ran_s)
     due_at = math.inf if due_s is None else job.created + due_s
     if ends_at > due_at:
-        return cost  # the deadline is missed anyway
+        return cost  # the deadline is missed even without the preemption
     share_waiting = min(1.0, len(job.waiting) / (0.5 * len(job.open) + 1.0))
     cost += expected_s * (1.0 - share_waiting)
-    if now + LAST_TASK * expected_s + RESTART_S > due_at:
+    if now + LONGEST_TASK_RUN * expected_s + RESTART_S > due_at:
         cost += MISSED_DEADLINE * expected_s
     return cost
 
 
 def victims_on(
-    machine: Machine, waiting: Job, candidates: Iterable[Victim], max_stops: int
+    machine: Machine, waiting: Job, candidates: Iterable[Victim], max_victims: int
 ) -> PreemptionOption | None:
-    """The stops on this machine that make room for one task of `waiting` and lose least, or None where at
-    most `max_stops` of them make none, or none are needed."""
+    """Returns victims on the machine that free the capacity for one task of `waiting`.
+
+    Candidates with the least loss per CPU are chosen first. Returns None if more than `max_victims` would be
+    needed, if all candidates together do not suffice, or if the task fits without preemption.
+    """
     spec = waiting.spec
     cpus, gpus, mem_gb = machine.free_cpus, machine.free_gpus, machine.free_mem
     remaining = iter(sorted(candidates, key=lambda victim: victim.loss / max(victim.job.spec.cpus, 0.1)))
@@ -111,7 +118,7 @@
     loss = 0.0
     while not (cpus + EPS >= spec.cpus and gpus + EPS >= spec.gpus and mem_gb + EPS >= spec.mem_gb):
         victim = next(remaining, None)
-        if victim is None or len(chosen) == max_stops:
+        if victim is None or len(chosen) == max_victims:
             return None
         victim_spec = victim.job.spec
         chosen.append(victim)
--- a/bayford/scheduling/quota.py
+++ b/bayford/scheduling/quota.py
@@ -1,7 +1,8 @@
-"""Team limits and guarantees, counted over open placements.
+"""Team limits and guarantees, accounted over open placements.
 
-A placement counts from before its start goes out until it is closed on evidence, so what the team's tasks
-really use can never be more than what is counted here. Guarded by the lock of the leader's state.
+A placement counts from before its start command is sent until there is evidence that the attempt has ended or
+can never start, so a team's tasks never use more than the amount counted here. Guarded by the lock of the
+leader's state.
 """
 
 from dataclasses import dataclass
@@ -11,44 +12,47 @@
 
 @dataclass(slots=True)
 class TeamQuota:
-    """One team's guarantee, limit and use. Without a limit `cpus_max` or `gpus_max` is infinite."""
+    """One team's guarantee, limit and usage. `cpus_max` and `gpus_max` are infinite if there is no limit."""
 
     name: str
     cpus: float  # guaranteed, 0 for none
     cpus_max: float
     gpus: float  # guaranteed, 0 for none
     gpus_max: float
-    used_cpus: float = 0.0  # by open placements
+    used_cpus: float = 0.0  # reserved by open placements, like used_gpus
     used_gpus: float = 0.0
 
     def reserve(self, spec: JobSpec) -> None:
-        """Count one open placement."""
+        """Reserve the quota of one placement that is opened."""
         self.used_cpus += spec.cpus
         self.used_gpus += spec.gpus
 
     def release(self, spec: JobSpec) -> None:
-        """Undo `reserve` for one placement that was closed."""
+        """Release the quota of one placement that was closed."""
         self.used_cpus -= spec.cpus
         self.used_gpus -= spec.gpus
 
     def allows(self, spec: JobSpec) -> bool:
-        """Whether one more task stays within the limit."""
+        """Returns whether one more task stays within the limit."""
         return (
             self.used_cpus + spec.cpus <= self.cpus_max + EPS
             and self.used_gpus + spec.gpus <= self.gpus_max + EPS
         )
 
     def could_ever(self, spec: JobSpec) -> bool:
-        """Whether the limit can ever hold the job: one task of an array, all of anything else."""
+        """Returns whether the job fits within the limit of a team that uses nothing.
+
+        An array needs room for one task, a gang or a service for all of its tasks.
+        """
         count = 1 if spec.shape == ARRAY else spec.tasks
         return spec.cpus * count <= self.cpus_max + EPS and spec.gpus * count <= self.gpus_max + EPS
 
     def headroom(self, spec: JobSpec) -> int:
-        """How many more such tasks the limit allows."""
+        """Returns how many more tasks of the job the limit allows, at most `spec.tasks`."""
         return self._tasks_within(spec, self.cpus_max, self.gpus_max)
 
     def unmet_guarantee(self, spec: JobSpec) -> int:
-        """How many more such tasks lie within the guarantee."""
+        """Returns how many more tasks of the job fit within the guarantee, at most `spec.tasks`."""
         return self._tasks_within(spec, self.cpus, self.gpus)
 
     def _tasks_within(self, spec: JobSpec, cpus: float, gpus: float) -> int:
--- a/bayford/scheduling/scaling.py
+++ b/bayford/scheduling/scaling.py
@@ -1,4 +1,4 @@
-"""When to launch and when to return machines. Pure: the caller counts, this decides."""
+"""Decides which machines to launch and when to delete idle ones. Pure: callers count demand and machines."""
 
 import math
 from collections.abc import Mapping, Sequence
@@ -7,10 +7,10 @@
 
 from bayford.scheduling.model import EPS, Machine, MachineType
 
-MIN_CHARGE_S = 60.0  # a deleted machine costs at least this long
+MIN_CHARGE_S = 60.0  # minimum time that the cloud charges for a machine, however early it is deleted
 MAX_PER_LAUNCH = 50  # machines in one launch plan
-BOOT_COST_S = 4 * MIN_CHARGE_S  # a machine that boots for as long counts as twice as expensive
-ON_DEMAND_KEEP_SHARE = 0.4  # an idle on-demand machine is kept for this part of the time of a spot one
+BOOT_COST_S = 4 * MIN_CHARGE_S  # boot time that counts as a doubling of a machine's price
+ON_DEMAND_KEEP_SHARE = 0.4  # keep time of an idle on-demand machine, as a share of that of a spot machine
 
 
 class MachinePool(NamedTuple):
@@ -22,7 +22,7 @@
 
 
 class PooledMachine(NamedTuple):
-    """A machine and the pool that it belongs to."""
+    """A machine with its machine pool."""
 
     pool: MachinePool
     machine: Machine
@@ -30,38 +30,37 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Demand:
-    """Waiting work of one shape: which pools may serve it and how much of it there is."""
+    """Waiting tasks of one job: how many there are, what each needs, and which pools may serve them."""
 
     pools: frozenset[MachinePool]
     tasks: int
-    cpus: float  # of one task, like the next two
+    cpus: float  # per task, like gpus and mem_gb
     gpus: float
     mem_gb: float
-    run_s: float  # expected seconds of one task
+    run_s: float  # expected run time of one task
     urgent: bool
-    on_demand: int  # how many of the tasks are worth on-demand machines, for else the deadline is missed
-    host_cpus: float  # CPUs of the present fleet, machines being launched included, that may serve it
-    spot_cpus: float  # the spot ones of them
-    preemptible_cpus: float = 0.0  # CPUs that it may take from other work
-    is_service: bool = False  # a service's replicas, which never end
+    on_demand: int  # number of tasks that would miss their deadline without on-demand machines
+    host_cpus: float  # CPUs of the fleet that may serve the tasks, including machines being launched
+    spot_cpus: float  # the part of `host_cpus` that belongs to spot machines
+    preemptible_cpus: float = 0.0  # CPUs that the tasks may get by preempting other work
+    is_service: bool = False  # the tasks are replicas of a service, which never end
 
     def slots_on(self, machine_type: MachineType) -> int:
-        """How many of the tasks an empty machine holds."""
+        """Returns how many of the tasks fit on an empty machine of this type."""
         return slots(machine_type, self.cpus, self.gpus, self.mem_gb)
 
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """Services that the same pools may serve, and how many machines of each type alone would hold them all,
-    the reserve included. All pools are on-demand ones."""
+    """Services that may be served by the same on-demand pools, and the capacity that they need."""
 
     pools: frozenset[MachinePool]
-    machines: dict[int, float]  # by type
+    machines: dict[int, float]  # by type: machines needed, reserve included, if all were of this type
 
 
 @dataclass(frozen=True, slots=True)
 class LaunchPlan:
-    """Launch `count` machines of this pool."""
+    """A decision to launch `count` machines of a pool."""
 
     pool: MachinePool
     count: int
@@ -69,7 +68,7 @@
 
 
 def slots(machine_type: MachineType, cpus: float, gpus: float, mem_gb: float) -> int:
-    """How many such tasks an empty machine holds."""
+    """Returns how many tasks of this size fit on an empty machine of this type."""
     limit = 1e9
     if cpus > 0:
         limit = min(limit, (machine_type.cpus + EPS) / cpus)
@@ -89,71 +88,74 @@
     ordinary_after_s: float,
     patience_s: float,
 ) -> list[LaunchPlan]:
-    """What to launch for `demands`.
+    """Returns the launches for `demands`.
 
-    `booting` counts machines that are coming up, by pool; they serve demands first. `refused`: pools of
-    which the cloud had none lately. `backlog_s` is how long the present fleet needs for its backlog: work
-    that the fleet clears within `patience_s` waits for it, and on-demand machines are taken only when the
-    backlog exceeds `ordinary_after_s` or for urgent work that no capacity can serve which it may take from
-    other work.
+    `booting` is the number of booting machines by pool; demands are assigned to these first. `refused` are
+    the pools for which the cloud recently refused a launch. `backlog_s` is the time that the present fleet
+    needs for its backlog.
 
-    A fleet that may not serve a job is no reason for it to wait: work that no machine of the present fleet
-    may take needs one of its own, an on-demand one where no spot one may serve it or is to be had.
+    Work that is not urgent waits for the present fleet if the fleet clears it within `patience_s`. On-demand
+    machines are launched only if the backlog reaches `ordinary_after_s`, for tasks that would otherwise miss
+    their deadline, for urgent work beyond the capacity that it may preempt, and for work that no spot machine
+    can serve, as described next.
+
+    Work that no machine of the present fleet may run does not wait for the fleet: machines are launched for
+    it, on-demand ones if no spot pool may serve it or all such pools have been refused.
     """
     unassigned = dict(booting)
     counts: dict[MachinePool, int] = {}
     reasons: dict[MachinePool, str] = {}
     for demand in sorted(demands, key=lambda d: (not d.urgent, not d.on_demand, -d.run_s)):
-        left = _left_after_booting(demand, types, unassigned)
+        remaining = _assign_booting(demand, types, unassigned)
         cpu_s = demand.tasks * demand.cpus * demand.run_s
-        own_s = cpu_s / demand.host_cpus if demand.host_cpus else float("inf")
-        if left <= 0 or (not demand.urgent and max(backlog_s, own_s) < patience_s):
+        demand_backlog_s = cpu_s / demand.host_cpus if demand.host_cpus else float("inf")
+        if remaining <= 0 or (not demand.urgent and max(backlog_s, demand_backlog_s) < patience_s):
             continue
-        on_demand = _on_demand_tasks(demand, left, refused, backlog_s >= ordinary_after_s)
+        on_demand = _on_demand_tasks(demand, remaining, refused, backlog_s >= ordinary_after_s)
         pool = _cheapest_pool(demand, types, refused, on_demand > 0)
         if pool is None:
             continue
-        tasks = left if pool.spot else on_demand
+        tasks = remaining if pool.spot else on_demand
         machines = min(MAX_PER_LAUNCH, -(-tasks // demand.slots_on(types[pool.type])))
         counts[pool] = counts.get(pool, 0) + machines
         reasons.setdefault(pool, "urgent work waits" if demand.urgent else "backlog")
     return [LaunchPlan(pool, min(MAX_PER_LAUNCH, count), reasons[pool]) for pool, count in counts.items()]
 
 
-def _left_after_booting(
-    demand: Demand, types: Sequence[MachineType], unassigned: dict[MachinePool, int]
-) -> int:
-    """Assign booting machines to the demand, which takes them out of `unassigned`; the tasks that are left,
-    none if that is 0 or less."""
-    left = demand.tasks
+def _assign_booting(demand: Demand, types: Sequence[MachineType], unassigned: dict[MachinePool, int]) -> int:
+    """Assign booting machines to the demand and subtract them from `unassigned`.
+
+    Returns the number of tasks that they can't hold; 0 or less if they can hold all.
+    """
+    remaining = demand.tasks
     for pool in demand.pools:
         available = unassigned.get(pool, 0)
         per_machine = demand.slots_on(types[pool.type])
         if available and per_machine:
-            used = min(available, -(-left // per_machine))
+            used = min(available, -(-remaining // per_machine))
             unassigned[pool] = available - used
-            left -= used * per_machine
-            if left <= 0:
+            remaining -= used * per_machine
+            if remaining <= 0:
                 break
-    return left
+    return remaining
 
 
 def _on_demand_tasks(
-    demand: Demand, left: int, refused: frozenset[MachinePool], backlog_exceeded: bool
+    demand: Demand, remaining: int, refused: frozenset[MachinePool], backlog_exceeded: bool
 ) -> int:
-    """How many of the `left` tasks may have on-demand machines."""
+    """Returns how many of the `remaining` tasks on-demand machines may be launched for."""
     no_spot = not demand.spot_cpus and not any(pool.spot for pool in demand.pools - refused)
-    on_demand = left if backlog_exceeded or no_spot else min(left, demand.on_demand)
+    on_demand = remaining if backlog_exceeded or no_spot else min(remaining, demand.on_demand)
     if demand.urgent:
         preemptible_tasks = int((demand.preemptible_cpus + EPS) / max(demand.cpus, EPS))
-        on_demand = max(on_demand, left - preemptible_tasks)
+        on_demand = max(on_demand, remaining - preemptible_tasks)
     return on_demand
 
 
 def _cheapest_pool(
-    demand: Demand, types: Sequence[MachineType], refused: frozenset[MachinePool], with_on_demand: bool
+    demand: Demand, types: Sequence[MachineType], refused: frozenset[MachinePool], allow_on_demand: bool
 ) -> MachinePool | None:
-    """The pool that serves a task at the lowest price, a long boot counted as a higher one."""
+    """Returns the pool with the lowest price per task, where a longer boot time raises the price."""
 
     def cost(pool: MachinePool) -> tuple[float, int, int, bool]:
         machine_type = types[pool.type]
@@ -164,7 +166,7 @@
     suitable = [
         pool
         for pool in demand.pools - refused
-        if demand.slots_on(types[pool.type]) and (pool.spot or with_on_demand)
+        if demand.slots_on(types[pool.type]) and (pool.spot or allow_on_demand)
     ]
     return min(suitable, key=cost, default=None)
 
@@ -174,18 +176,18 @@
     types: Sequence[MachineType],
     present: Mapping[MachinePool, int],
     refused: frozenset[MachinePool],
-    soonest: bool = False,
+    prefer_fast_boot: bool = False,
 ) -> list[LaunchPlan]:
-    """What to launch that the services and their reserve have capacity.
+    """Returns the launches that give the services and their reserve enough capacity.
 
-    `present`: the machines by pool, those being launched included. Of equally expensive ones those in the
-    zone that has least, so that the loss of a zone takes few replicas; with `soonest` those that boot in the
-    shortest time.
+    `present` is the number of machines by pool, including those being launched. Among equally expensive
+    pools, the one whose zone has the fewest CPUs for the group is chosen, so that the loss of a zone affects
+    few replicas; with `prefer_fast_boot`, the one with the shortest boot time.
     """
     counts: dict[MachinePool, int] = {}
     for group in groups:
         zone_cpus: dict[int, float] = {}
-        share = 0.0  # of what the group needs
+        share = 0.0  # of the group's needed capacity that is present
         for pool in group.pools:
             count = present.get(pool, 0) + counts.get(pool, 0)
             share += count / group.machines[pool.type]
@@ -193,10 +195,10 @@
         available = group.pools - refused
         if share >= 1.0 or not available:
             continue
-        best = _best_service_pool(available, group, types, None if soonest else zone_cpus)
-        lacking = math.ceil((1.0 - share) * group.machines[best.type] - EPS)
-        if lacking > 0:
-            counts[best] = counts.get(best, 0) + lacking
+        best = _best_service_pool(available, group, types, None if prefer_fast_boot else zone_cpus)
+        missing = math.ceil((1.0 - share) * group.machines[best.type] - EPS)
+        if missing > 0:
+            counts[best] = counts.get(best, 0) + missing
     return [LaunchPlan(pool, min(MAX_PER_LAUNCH, count), "services") for pool, count in counts.items()]
 
 
@@ -206,19 +208,26 @@
     types: Sequence[MachineType],
     zone_cpus: Mapping[int, float] | None,
 ) -> MachinePool:
-    """The cheapest pool for the group; of equally expensive ones that in the zone with the least CPUs, or
-    without `zone_cpus` that which boots soonest."""
+    """Returns the cheapest pool for the group.
+
+    Among equally expensive pools it is the one whose zone has the fewest CPUs, or, if `zone_cpus` is None,
+    the one with the shortest boot time.
+    """
 
     def rank(pool: MachinePool) -> tuple[float, ...]:
         machine_type = types[pool.type]
-        second = machine_type.boot_s if zone_cpus is None else zone_cpus[pool.zone]
-        return (round(machine_type.price * group.machines[pool.type], 6), second, pool.type, pool.zone)
+        tie_breaker = machine_type.boot_s if zone_cpus is None else zone_cpus[pool.zone]
+        return (round(machine_type.price * group.machines[pool.type], 6), tie_breaker, pool.type, pool.zone)
 
     return min(pools, key=rank)
 
 
 def should_terminate(idle_s: float, age_s: float, on_demand: bool, waiting: bool, keep_s: float) -> bool:
-    """Whether an idle machine goes back. Below the minimum charge, keeping it costs nothing."""
+    """Returns whether to delete an idle machine.
+
+    `waiting`: there is waiting work that the machine could run. `keep_s`: how long an idle spot machine is
+    kept. Keeping a machine that is younger than `MIN_CHARGE_S` costs nothing.
+    """
     if waiting or age_s < MIN_CHARGE_S:
         return False
     return idle_s > keep_s * (ON_DEMAND_KEEP_SHARE if on_demand else 1.0)
--- a/bayford/scheduling/tempered.py
+++ b/bayford/scheduling/tempered.py
@@ -1,9 +1,10 @@
-"""The paper's transfer stage (TemperedLB), turned to freeing room that a waiting task needs.
+"""The transfer stage of TemperedLB, adapted to free the capacity that a waiting task needs on a machine.
 
-"Optimizing Distributed Load Balancing for Workloads with Time-Varying Imbalance", sections IV-B and V; the
-names below are the paper's where it has one. What differs from it is in docs/design.md: the source is not
-an overloaded rank but a machine that a waiting task could use, its excess is the room that the task lacks
-there, and every resource must fit at the target. Pure: the random numbers are passed in.
+The algorithm is from "Optimizing Distributed Load Balancing for Workloads with Time-Varying Imbalance",
+sections IV-B and V; names follow the paper where it defines one. docs/design.md describes the differences:
+the source is not an overloaded rank but a machine that a waiting task could use, its excess is the capacity
+that the task lacks there, and every resource must fit at the target. Pure: the random number generator is a
+parameter.
 """
 
 import random
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """A task that may move, and what it uses."""
+    """A task that may be migrated, and the resources it uses."""
 
     key: tuple[str, int]  # task name and attempt
     demand: Resources
@@ -25,7 +26,7 @@
 
 @dataclass(slots=True)
 class Host:
-    """A machine in a snapshot of the fleet, as old as the snapshot is."""
+    """A machine in a snapshot of the fleet, which may be outdated."""
 
     index: int
     cpus: float
@@ -34,17 +35,17 @@
 
     @property
     def load(self) -> float:
-        """Reserved share of the CPUs, the design's starting measure of load."""
+        """The machine's load: the reserved share of its CPUs."""
         return 1.0 - self.free[0] / self.cpus if self.cpus > 0 else 1.0
 
     def share(self, item: Item) -> float:
-        """The load that the task is, or would be, here."""
+        """Returns the load that the task causes, or would cause, on this machine."""
         return item.demand[0] / self.cpus if self.cpus > 0 else 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """One task from the source to a target."""
+    """The move of one task from the source to a target."""
 
     key: tuple[str, int]
     target: int
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The transfers of the best trial, and the imbalance that they leave."""
+    """The moves of the best trial, and the imbalance after them."""
 
     source: int
     moves: tuple[Move, ...]
@@ -61,43 +62,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """How hard to try: the paper's n_trials and n_iters, and the round's budget of moves."""
+    """Limits of one search: the paper's n_trials and n_iters, and the maximum number of moves."""
 
     trials: int = 4
     iterations: int = 3
     moves: int = 1
 
 
-Allowed = Callable[[tuple[str, int], int], bool]  # whether this task may run on that machine
+# Whether the task (name and attempt) may run on the machine with this index.
+Allowed = Callable[[tuple[str, int], int], bool]
 
 
 def add(a: Resources, b: Resources) -> Resources:
-    """Component-wise sum."""
+    """Returns the component-wise sum."""
     return (a[0] + b[0], a[1] + b[1], a[2] + b[2])
 
 
 def sub(a: Resources, b: Resources) -> Resources:
-    """Component-wise difference."""
+    """Returns the component-wise difference `a - b`."""
     return (a[0] - b[0], a[1] - b[1], a[2] - b[2])
 
 
 def fits(demand: Resources, free: Resources) -> bool:
-    """Whether every resource fits."""
+    """Returns whether `free` suffices for `demand` in every resource."""
     return demand[0] <= free[0] + EPS and demand[1] <= free[1] + EPS and demand[2] <= free[2] + EPS
 
 
 def imbalance(loads: Iterable[float]) -> float:
-    """Equation 1: highest load over average load, minus 1."""
+    """Equation 1: highest load divided by average load, minus 1; 0 if the average load is 0."""
     values = list(loads)
     average = sum(values) / len(values) if values else 0.0
     return max(values) / average - 1.0 if average > 0 else 0.0
 
 
 def build_cmf(loads: Sequence[float]) -> list[float]:
-    """Algorithm 2, BUILDCMF, modified: cumulative mass by 1 - load/ls; empty if no target has any.
+    """Algorithm 2, BUILDCMF, modified: cumulative probabilities, proportional to 1 - load/ls.
 
     ls is the larger of the average and the highest known load, so that no weight is negative although the
-    relaxed criterion lets targets rise above the average.
+    relaxed criterion allows targets above the average load. Returns an empty list if all weights are 0.
     """
     if not loads:
         return []
@@ -116,7 +118,7 @@
 
 
 def sample(cmf: Sequence[float], rng: random.Random) -> int:
-    """The index that a uniform draw falls on."""
+    """Returns a random index, distributed according to `cmf`."""
     draw = rng.random() * cmf[-1]
     for index, mass in enumerate(cmf):
         if draw < mass:
@@ -125,16 +127,21 @@
 
 
 def criterion(load_there: float, source: float, target: float) -> bool:
-    """Algorithm 2, line 37, relaxed: the task's load is below the gap, so the higher load falls."""
+    """Algorithm 2, line 37, relaxed: whether moving the task lowers the higher of the two loads.
+
+    That holds if the task's load at the target is below the difference of the two loads.
+    """
     return load_there < source - target - EPS
 
 
 def order_fewest(items: Sequence[Item], load: Callable[[Item], float], excess: float) -> list[Item]:
-    """Algorithm 5: first the smallest task that alone frees the excess, then the lighter ones by falling
-    load, then the heavier ones by rising load; without such a task all by falling load.
+    """Algorithm 5: orders the tasks so that few moves suffice.
 
-    The paper's cutoff is strictly above the excess; a task of exactly the needed room frees it too, so
-    here it may be equal.
+    The smallest task that alone frees the excess comes first, then lighter tasks by decreasing load, then
+    heavier ones by increasing load. If no task alone frees the excess, all are ordered by decreasing load.
+
+    The paper's cutoff is strictly above the excess. Here it may be equal, because a task that uses exactly
+    the needed capacity frees enough.
     """
     sufficient = [load(i) for i in items if load(i) >= excess - EPS]
     if not sufficient:
@@ -154,13 +161,16 @@
     allowed: Allowed,
     rng: random.Random,
 ) -> list[Move]:
-    """Algorithm 2, TRANSFER, on hosts that it changes: until the source is relieved of its excess, the budget
-    is spent, or its tasks are through."""
+    """Algorithm 2, TRANSFER: moves tasks off the source and returns the moves.
+
+    Ends when `relieved(source)` is true, after `budget` moves, or when every task has been tried. Modifies
+    `source` and `others`.
+    """
     moves: list[Move] = []
     for item in order_fewest(source.items, source.share, excess):
         if relieved(source) or len(moves) >= budget:
             break
-        cmf = build_cmf([host.load for host in others])  # recomputed: the loads have moved
+        cmf = build_cmf([host.load for host in others])  # recomputed, because a move changes the loads
         if not cmf:
             break
         target = others[sample(cmf, rng)]
@@ -178,7 +188,7 @@
 
 
 def copy_hosts(hosts: Iterable[Host]) -> list[Host]:
-    """Hosts that a trial may change."""
+    """Returns copies of the hosts that a trial may modify."""
     return [Host(h.index, h.cpus, h.free, h.items) for h in hosts]
 
 
@@ -190,8 +200,11 @@
     allowed: Allowed,
     rng: random.Random,
 ) -> Plan | None:
-    """Algorithm 3: several trials of iterations from the same state; the best imbalance of those that
-    free the room is the plan. None: no trial freed it."""
+    """Algorithm 3: runs several trials from the same state, each with several iterations of `transfer`.
+
+    Returns the plan of the trial with the lowest imbalance among those that make `demand` fit on the source,
+    or None if no trial does.
+    """
 
     def has_room(host: Host) -> bool:
         return fits(demand, host.free)
@@ -219,7 +232,6 @@
 
 
 def budget(running: int, share: float) -> int:
-    """Moves per round: a share of the running tasks, rounded up, so one when few run and none when none
-    does."""
+    """Returns the maximum number of moves per round: `share` of the running tasks, rounded up."""
     whole = int(running * share)
     return whole + (1 if running * share > whole + EPS else 0)
