--- a/deploy/all-parts.star
+++ b/deploy/all-parts.star
@@ -1,5 +1,5 @@
-# Every part of bayford turned on, whatever its figures on the bench: for trials, and for sites that want them.
-# deploy/policy.star, which `run` uses, says what each setting is for.
+# Turns on every optional part of bayford, whatever its benchmark results, for trials and for sites that want
+# them. deploy/policy.star, which `run` uses, describes each setting.
 #
 #     python3 run.py --config settings.toml --script deploy/all-parts.star
 
