--- a/bayford/coordination/leader/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -1,6 +1,6 @@
-"""The leader's part of admission: what it knows of the load, and the level that it publishes.
+"""The leader's part of admission: measures the load and determines the admission level to publish.
 
-The decisions are those of `admission.control`. Imported and made only where admission is on.
+The decision logic is in `admission.control`. This module is imported only if admission is enabled.
 """
 
 import logging
@@ -26,14 +26,14 @@
 
 
 class AdmissionControl:
-    """Levels of this controller's terms as leader.
+    """Determines the admission levels during this controller's terms as leader.
 
-    `note_accepted` may be called by any thread, also under the lock of the leader's state; all else is called
-    by the admission thread alone, without that lock.
+    `note_accepted` may be called by any thread, also under the lock of the leader's state. All other methods
+    are called only by the admission thread, without that lock.
     """
 
     def __init__(self, policy: Policy, teams: list[Team], limits: StoreLimits) -> None:
-        """`limits`: those of the state service, read anew at each use since they may change."""
+        """`limits`: limits of the state service. They may change, so they are read at each use."""
         self._limits = limits
         self._accept_share = policy.admission_accept_share
         self._times = AdmissionTimes(
@@ -47,29 +47,32 @@
             floors=Floors(policy.admission_floor, policy.admission_floors),
         )
         self._guarantee_shares = _guarantee_shares(teams)
-        self._lock = threading.Lock()  # guards all that `_begin` makes anew, and the term
-        self._control = LevelControl(self._times)
+        self._lock = threading.Lock()  # guards the attributes that `_start_term` resets, and the term
+        self._level_control = LevelControl(self._times)
         self._term = -1
-        self._begin(0.0)
+        self._start_term(0.0)
 
-    def _begin(self, now: float) -> None:
-        """Begin a term: what was measured in an earlier one counts no more."""
-        self._control.begin(now)
+    def _start_term(self, now: float) -> None:
+        """Starts a term and discards all measurements of earlier terms."""
+        self._level_control.begin(now)
         self._capacity = AcceptanceCapacity(
             self._accept_share * self._limits.write_rps, self._limits.write_rps
         )
         self._demand = DistinctDemand(self._times.window_s)
         self._accepted: Rates[Flow] = Rates(self._times.window_s)
-        self._task_log_refused: int | None = None  # as of the last update of the capacity
+        self._task_log_refused: int | None = None  # count at the last update of the capacity
         self._capacity_updated_at = now
 
     def note_accepted(self, flow: Flow, now: float) -> None:
-        """A job has become known to the leader. Any thread, also under the lock of the leader's state."""
+        """Counts a job that the leader has received as accepted.
+
+        May be called by any thread, also under the lock of the leader's state.
+        """
         with self._lock:
             self._accepted.note(flow, now)
 
     def note_submitted(self, controller: str, sample: Sample, now: float) -> None:
-        """Add a controller's sample of the jobs submitted there."""
+        """Adds a controller's sample of the jobs submitted to it."""
         with self._lock:
             self._demand.merge(controller, sample, now)
 
@@ -77,36 +80,37 @@
         self,
         term: int,
         view: LevelView,
-        work: Callable[[], WorkloadFacts],
+        get_workload: Callable[[], WorkloadFacts],
         task_log: TaskLogFacts,
         now: float,
         wall: float,
     ) -> Put | None:
-        """The level to write now, if any; its write has to depend on the term and on the version in `view`.
+        """Returns the admission level to write now, or None.
 
-        `now` is of the steady clock, `wall` the time of day.
-        `work` takes the lock of the leader's state, under which accepted jobs are noted here: it is called
-        while the lock of this object is free, or two threads could wait for each other.
+        The write must be conditional on the term and on the version in `view`. `now` is a time of the steady
+        clock, `wall` the time of day. `get_workload` acquires the lock of the leader's state, and
+        `note_accepted` may be called under that lock. So `get_workload` is called without holding the lock of
+        this object; otherwise two threads could deadlock.
         """
-        if view.lacking or (term == self._term and not self._control.is_due(now)):
+        if view.lacking or (term == self._term and not self._level_control.is_due(now)):
             return None
-        facts = work()
+        workload = get_workload()
         with self._lock:
             if term != self._term:
                 self._term = term
-                self._begin(now)
-                if not self._control.is_due(now):
+                self._start_term(now)
+                if not self._level_control.is_due(now):
                     return None
             self._update_capacity(view.level is not None and not view.level.is_open, task_log, now)
-            load = self._load(facts, now)
-            level = self._control.next_level(view.level, load, now, wall, secrets.token_hex(KEY_BYTES))
+            load = self._measure_load(workload, now)
+            level = self._level_control.next_level(view.level, load, now, wall, secrets.token_hex(KEY_BYTES))
         if level is None:
             return None
         self._log_change(view.level, level, load)
         return Put(records.ADMISSION, encode(level, self._limits.value_bytes))
 
     def task_log_rps(self, view: LevelView) -> float | None:
-        """Changes a second that this level leaves to the task log, None if it sets no limit."""
+        """Returns the changes per second that this level leaves to the task log, None if it sets no limit."""
         level = view.in_force
         if level is None or not level.accept_rps:
             return None
@@ -114,9 +118,9 @@
             return self._capacity.task_log_rps()
 
     def not_written(self) -> None:
-        """The write of the last level failed, or its outcome is unknown: the next one is due at once."""
+        """Makes the next level due at once, after a write that failed or whose outcome is unknown."""
         with self._lock:
-            self._control.not_published()
+            self._level_control.not_published()
 
     def _update_capacity(self, refusing: bool, task_log: TaskLogFacts, now: float) -> None:
         if now - self._capacity_updated_at < self._times.interval_s:
@@ -126,17 +130,18 @@
         self._task_log_refused = task_log.refused
         self._capacity.update(refusing, refused, task_log.lag_s)
 
-    def _load(self, work: WorkloadFacts, now: float) -> Load:
+    def _measure_load(self, workload: WorkloadFacts, now: float) -> Load:
         kept_up = self._capacity.kept_up
         return Load(
-            # Not the acceptances: after a flood these include jobs that were submitted long before.
+            # Demand is not measured by acceptances: after an overload these include jobs that were first
+            # submitted long before.
             demand=self._demand.rates(now),
             accepted=self._accepted.rates(now),
             capacity=self._capacity.per_s,
             kept_up=kept_up,
             guarantees={team: kept_up * share for team, share in self._guarantee_shares.items()},
-            over_guarantee=work.over_guarantee,
-            backlog_s=work.backlog_s,
+            over_guarantee=workload.over_guarantee,
+            backlog_s=workload.backlog_s,
         )
 
     @staticmethod
@@ -165,7 +170,10 @@
 
 
 def encode_sample(sample: Sample) -> mesh.Submitted:
-    """A sample as it is sent to the other controllers: each flow once, the jobs with indices of flows."""
+    """Returns the form of a sample that is sent to other controllers.
+
+    It lists each flow once; the jobs refer to flows by index.
+    """
     flows = sorted(set(sample.jobs.values()))
     index = {flow: n for n, flow in enumerate(flows)}
     rows = [(flow.priority, flow.job_class, flow.team) for flow in flows]
@@ -173,18 +181,18 @@
 
 
 def decode_sample(submitted: mesh.Submitted) -> Sample:
-    """The inverse; jobs with the index of no flow are left out."""
+    """Decodes the output of `encode_sample`; omits jobs whose flow index is out of range."""
     flows = [Flow(priority, job_class, team) for priority, job_class, team in submitted.flows]
     jobs = {key: flows[n] for key, n in submitted.jobs if 0 <= n < len(flows)}
     return Sample(max(1, submitted.threshold), jobs)
 
 
 def _guarantee_shares(teams: list[Team]) -> dict[str, float]:
-    """Each team's share of all guarantees, 0 to 1; CPUs and GPUs count alike."""
+    """Returns each team's share of all guarantees, 0 to 1. CPUs and GPUs have equal weight."""
     cpus = sum(team.cpus for team in teams)
     gpus = sum(team.gpus for team in teams)
     sums = {
         team.name: (team.cpus / cpus if cpus else 0.0) + (team.gpus / gpus if gpus else 0.0) for team in teams
     }
     total = sum(sums.values())
-    return {name: part / total if total else 0.0 for name, part in sums.items()}
+    return {name: team_sum / total if total else 0.0 for name, team_sum in sums.items()}
--- a/bayford/coordination/leader/admission_publisher.py
+++ b/bayford/coordination/leader/admission_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the admission level as the leader. Made only where admission is on."""
+"""Publishes the admission level while this controller is the leader. Used only if admission is enabled."""
 
 from collections.abc import Callable
 
@@ -16,17 +16,20 @@
 from bayford.storage.key_value_store import OutcomeUnknownError, Row, UnavailableError
 from bayford.storage.watch_cache import WatchCache
 
-STEP_PERIOD_S = 0.5  # how often the leader looks whether a new level is due
+STEP_PERIOD_S = 0.5  # interval at which the leader checks whether a new level is due
 
 
 def job_classes(settings: Settings, scheduler: Scheduler) -> list[str]:
-    """The classes of jobs that admission tells apart: those with objectives, and the operators' own."""
-    named = [o.job_class for o in settings.facts.objectives if o.job_class is not None]
-    return [*named, *scheduler.policy.extra_classes]
+    """Returns the job classes that admission distinguishes: those with objectives and `extra_classes`."""
+    objective_classes = [o.job_class for o in settings.facts.objectives if o.job_class is not None]
+    return [*objective_classes, *scheduler.policy.extra_classes]
 
 
 class AdmissionPublisher(LeaderListener):
-    """Owns the gate of this controller and the control of its terms as leader. `step` runs in one thread."""
+    """Owns this controller's admission gate and the admission control for its terms as leader.
+
+    `step` is called by one thread only.
+    """
 
     def __init__(
         self,
@@ -40,7 +43,7 @@
         clock: Callable[[], float],
         wall: Callable[[], float],
     ) -> None:
-        """`store`: the one that the task log is written to, whose refusals show its load."""
+        """`store`: the store that the task log is written to. Its refusals indicate its load."""
         self._member = settings.member
         self._scheduler = scheduler
         self._is_verified_leader = is_verified_leader
@@ -58,21 +61,21 @@
         self.control.note_accepted(self.gate.flow(spec), self._clock())
 
     def on_peer_status(self, status: mesh.Status) -> None:
-        """Take in what another controller says of the jobs submitted there."""
+        """Adds the sample of submitted jobs that another controller has sent, if any."""
         if status.submitted is not None:
             self.control.note_submitted(status.member, decode_sample(status.submitted), self._clock())
 
     def submitted(self) -> mesh.Submitted:
-        """A sample of the jobs submitted here, for the other controllers."""
+        """Returns a sample of the jobs submitted to this controller, for the other controllers."""
         return encode_sample(self.gate.submitted())
 
     def step(self) -> float:
-        """Publish a level if one is due."""
+        """Publishes a level if one is due and returns the seconds to wait until the next call."""
         self.publish_once()
         return STEP_PERIOD_S
 
     def publish_once(self) -> None:
-        """As the leader, publish the next admission level if the load asks for one."""
+        """Publishes the next admission level if the load requires one, and only as the verified leader."""
         if not self._scheduler.leader or not self._is_verified_leader():
             return
         now = self._clock()
@@ -87,7 +90,8 @@
             return
         self._commit_loop.writes.take(1)
         try:
-            # Under this term, and over the very level that it follows: late copies of either write fail.
+            # The write requires the present term and the version of the level that it replaces, so a delayed
+            # duplicate of this write, or of an earlier one, fails.
             conditions = {records.LEADERSHIP: term, put.key: view.version}
             outcome = self._store.compare_and_swap(conditions, [put])
         except (UnavailableError, OutcomeUnknownError):
--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -1,4 +1,4 @@
-"""Scales the fleet: decides on launches and deletions, and takes in what the cloud answers."""
+"""Scales the fleet: decides on launches and deletions, and processes the cloud's responses."""
 
 import dataclasses
 import logging
@@ -18,51 +18,54 @@
 
 
 class Autoscaler:
-    """The size of the fleet. The public methods take the lock of the leader's state."""
+    """Controls the size of the fleet. The public methods acquire the lock of the leader's state."""
 
     def __init__(self, state: LeaderState, scheduling: SchedulingRound) -> None:
-        """`scheduling`: for the order of service."""
+        """`scheduling` provides the queue that defines the order in which jobs are served."""
         self._state = state
-        self._demand = WaitingDemand(state, scheduling.queue)
+        self._waiting_demand = WaitingDemand(state, scheduling.queue)
         self._services = ServiceCapacity(state)
         self._deletions = MachineDeletions(state)
 
     # -- decisions -------------------------------------------------------------------------------------
 
-    def scaling_step(self, listening: float) -> ScalingActions:
-        """What to launch and what to delete now. No machine counts as silent before `listening`, a time of
-        the steady clock: until then this process stood still, or refused heartbeats."""
+    def scaling_step(self, listening_since: float) -> ScalingActions:
+        """Returns the machines to launch and to delete now.
+
+        `listening_since`: time of the steady clock before which this process was stalled or rejected
+        heartbeats. Silence of a machine before that time is not counted.
+        """
         actions = ScalingActions()
         with self._state.lock:
             if not self._state.leader or not self._state.complete or not self._state.types:
                 return actions
             now = self._state.clock()
             present = self._present_machines()
-            demands = self._demand.estimate(now, present)
-            groups = self._services.groups(now)
+            demands = self._waiting_demand.estimate(now, present)
+            groups = self._services.group_services(now)
             self._state.service_machines = self._services.kept_machines(groups, present)
-            actions.deletions += self._deletions.decide(now, bool(demands), listening)
-            # Without those that have just been given up.
+            actions.deletions += self._deletions.decide(now, bool(demands), listening_since)
+            # Exclude the machines that `decide` has just marked for deletion.
             staying = [entry for entry in present if not entry.machine.deleting]
             if self._list_is_complete():
                 actions.launches += self._plan_launches(now, demands, groups, staying)
         return actions
 
     def overdue(self) -> set[str]:
-        """Machines to delete even where no controller can be sure to be the leader: see
-        `MachineDeletions.overdue`."""
+        """Returns the names of machines that must be deleted even while no controller can verify that it is
+        the leader; see `MachineDeletions.overdue`."""
         with self._state.lock:
             return {machine.name for machine in self._deletions.overdue()}
 
     def overdue_step(self) -> ScalingActions:
-        """The deletions of overdue machines that have not been asked for yet."""
+        """Returns the deletions of overdue machines that have not been requested yet."""
         with self._state.lock:
             return ScalingActions(deletions=self._deletions.delete_overdue())
 
     def _present_machines(self) -> list[PooledMachine]:
-        """The machines that count: neither being deleted nor at fault."""
+        """Returns the machines of known type and zone that are neither being deleted nor quarantined."""
         present = []
-        pools: dict[tuple[int, int, bool], MachinePool] = {}  # one object each: a fleet has few pools
+        pools: dict[tuple[int, int, bool], MachinePool] = {}  # one shared object per pool
         for machine in self._state.machines.values():
             if machine.type is None or machine.zone is None or machine.quarantined or machine.deleting:
                 continue
@@ -74,8 +77,11 @@
         return present
 
     def _list_is_complete(self) -> bool:
-        """Whether the cloud's list shows all machines of the leader before. What that launched a moment ago
-        is in no list yet: launching now would launch it twice."""
+        """Returns whether the cloud's list includes all machines that the previous leader launched.
+
+        The list lags behind launches. Launching before it is complete could duplicate the previous leader's
+        most recent launches.
+        """
         state = self._state
         lag_s = state.settings.facts.cloud.list_lag_s if state.recovered_predecessor else 0.0
         return state.listed_at >= state.leader_since + lag_s
@@ -85,7 +91,7 @@
     ) -> list[LaunchRequest]:
         state = self._state
         booting = dict(state.launching)
-        remaining = dict(state.launching)  # without those that the cloud is about to take
+        remaining = dict(state.launching)  # excludes machines that the cloud is about to reclaim
         for pool, machine in machines:
             if not machine.registered:
                 booting[pool] = booting.get(pool, 0) + 1
@@ -106,10 +112,10 @@
             ordinary_after_s=state.policy.ordinary_after_s,
             patience_s=state.policy.patience_s,
         )
-        return [self._request(plan, waiting_s) for plan in self._paced(plans, machines)]
+        return [self._create_request(plan, waiting_s) for plan in self._paced(plans, machines)]
 
-    def _request(self, plan: LaunchPlan, waiting_s: float) -> LaunchRequest:
-        """Count the plan's machines as being launched, and name them as the cloud does."""
+    def _create_request(self, plan: LaunchPlan, waiting_s: float) -> LaunchRequest:
+        """Counts the plan's machines as being launched and returns the launch request for them."""
         pool = plan.pool
         self._add_launching(pool, plan.count)
         type_name, zone = self._state.type_names[pool.type], self._state.zones[pool.zone]
@@ -125,7 +131,10 @@
         return LaunchRequest(type_name, zone, pool.spot, plan.count, plan.reason)
 
     def _paced(self, plans: list[LaunchPlan], machines: Sequence[PooledMachine]) -> list[LaunchPlan]:
-        """Into a zone that returns and of which no machine answers yet only a few machines, to see."""
+        """Limits launches into a returning zone until one of its machines is verified.
+
+        Until then at most `recovery_least` machines are present or being launched there, to test the zone.
+        """
         state = self._state
         answering = {pool.zone for pool, machine in machines if machine.index in state.verified_machines}
         paced = []
@@ -142,10 +151,13 @@
                 paced.append(plan)
         return paced
 
-    # -- answers of the cloud --------------------------------------------------------------------------
+    # -- responses of the cloud ------------------------------------------------------------------------
 
     def on_list(self, listed: Iterable[Listed], began: float) -> None:
-        """The cloud's list, asked for at `began`. Lagging; what it lacks may be up already."""
+        """Processes the cloud's list of machines, requested at `began`.
+
+        The list lags: a machine that is missing from it may already be running.
+        """
         with self._state.lock:
             if not self._state.leader:
                 return
@@ -177,7 +189,11 @@
             machine.quarantined = machine.lost = True
 
     def on_launched(self, order: LaunchRequest, names: list[str], at: float) -> None:
-        """A launch request was answered (`names` may be fewer than asked) or refused (none)."""
+        """Processes the response to a launch request.
+
+        `names`: the launched machines, fewer than requested if the cloud lacks capacity, none if it refused.
+        `at`: when the request was started.
+        """
         with self._state.lock:
             pool = self._pool(order)
             self._add_launching(pool, -order.count)
@@ -204,7 +220,7 @@
                 self._state.learn_type(machine, order.type)
 
     def on_launch_failed(self, order: LaunchRequest) -> None:
-        """The request was not sent after all; the cloud has refused nothing."""
+        """Handles a request that was not sent. This is no refusal by the cloud: the pool stays available."""
         with self._state.lock:
             self._add_launching(self._pool(order), -order.count)
 
@@ -213,14 +229,14 @@
         return MachinePool(state.type_names.index(order.type), state.zones.index(order.zone), order.spot)
 
     def _add_launching(self, pool: MachinePool, count: int) -> None:
-        """Count machines of the pool as being launched, or, below 0, no more."""
+        """Adds `count`, which may be negative, to the number of machines being launched in the pool."""
         launching = self._state.launching
         launching[pool] = max(0, launching.get(pool, 0) + count)
         if not launching[pool]:
             del launching[pool]
 
     def deleted(self, names: Iterable[str]) -> None:
-        """The cloud has confirmed (200): the machines and everything on them are gone."""
+        """Handles a confirmed deletion (status 200): the machines and all tasks on them no longer exist."""
         with self._state.lock:
             now = self._state.clock()
             for name in names:
@@ -238,7 +254,10 @@
                 self._state.reclaim_pending.pop(machine.index, None)
 
     def not_deleted(self, names: Iterable[str]) -> None:
-        """The deletion was not confirmed: decide anew. The machine may be gone or not."""
+        """Handles a deletion that was not confirmed: the next steps decide again.
+
+        The machine may or may not exist.
+        """
         with self._state.lock:
             for name in names:
                 index = self._state.machine_names.find(name)
--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -1,8 +1,8 @@
-"""What the leader asks of the cloud: the catalog, the list of machines, launch requests and deletions.
+"""Requests to the cloud: the catalog, the list of machines, launch requests and deletions.
 
-The decisions are the scheduler's; this carries them out within the cloud's rate of requests. Before anything
-is launched or deleted the controller must be verified to be the leader still, since the decision may be older
-than the last verification.
+The scheduler decides; this module sends the requests within the cloud's rate limit. Before a launch or a
+deletion the controller must be verified again to be the leader, since the decision may be older than the last
+verification.
 """
 
 import logging
@@ -18,16 +18,16 @@
 
 log = logging.getLogger(__name__)
 
-LEADER_SHARE = 0.8  # of the cloud's rate of requests: the other controllers ask for the catalog alone
-LAUNCH_QUEUE_SIZE = 256  # requests of up to 50 machines each; one that finds no place is decided anew
+LEADER_SHARE = 0.8  # of the cloud's request rate; the other controllers only request the catalog
+LAUNCH_QUEUE_SIZE = 256  # requests of up to 50 machines each; if the queue is full, later steps decide again
 LAUNCH_ATTEMPTS = 4
 LAUNCH_RETRY_S = 0.5  # doubled with each attempt
-MAX_PER_LAUNCH = 50  # machines in a request
+MAX_PER_LAUNCH = 50  # machines per request
 MAX_PER_DELETION = 100
-PACE_S = 0.1  # between two looks at the token bucket
+PACE_POLL_S = 0.1  # between two checks of the token bucket
 PACE_ATTEMPTS = 100
 LIST_PERIOD_S = 2.0
-LIST_SHARE = 0.4  # of the leader's rate, at the most: the rest is left to launch requests and deletions
+LIST_SHARE = 0.4  # maximum share of the leader's rate; the rest is for launch requests and deletions
 LEADER_CATALOG_PERIOD_S = 25.0
 CATALOG_PERIOD_S = 60.0
 PAUSE_AFTER_CALL_S = 0.05
@@ -35,20 +35,20 @@
 
 
 class LeadershipStatus(Protocol):
-    """What the calls need to know of the leadership."""
+    """The state of the leadership that calls to the cloud depend on."""
 
     def is_verified_leader(self) -> bool:
-        """Whether this controller may act as the leader on the view it has."""
+        """Returns whether this controller is verified to be the leader and may act on its present state."""
 
     def no_competing_leader(self) -> bool:
-        """Whether no controller can be verified to be the leader, and this one was the last by the leadership
-        record."""
+        """Returns whether no controller can be verified to be the leader, and this one was the last leader
+        according to the leadership record."""
 
 
 class CloudOperations:
-    """The calls of one controller to the cloud.
+    """Sends the requests of one controller to the cloud.
 
-    Each `..._step` belongs to one thread, and returns the seconds to wait until it is called again.
+    Each `..._step` method is called by one thread only and returns the seconds to wait until the next call.
     """
 
     def __init__(
@@ -62,9 +62,9 @@
         pause: Callable[[threading.Event, float], object],
         on_change: Callable[[], None],
     ) -> None:
-        """`rps` is the cloud's limit of requests per second. `request_prefix` is this process's alone, so
-        that no launch request is named like another. `on_change`: there is something for the next scheduling
-        round."""
+        """`rps`: the cloud's limit of requests per second. `request_prefix`: unique to this process, so that
+        launch requests of different processes never have the same name. `on_change`: called when the next
+        scheduling round has new types or confirmed deletions to consider."""
         self._cloud = cloud
         self._scheduler = scheduler
         self._leadership = leadership
@@ -76,29 +76,30 @@
         self._pause = pause
         self._on_change = on_change
         self._launch_queue: queue.Queue[LaunchRequest] = queue.Queue(LAUNCH_QUEUE_SIZE)
-        self._deletions: queue.Queue[str] = queue.Queue()  # each machine is in it once at the most
+        self._deletions: queue.Queue[str] = queue.Queue()  # contains each machine at most once
 
     def carry_out(self, step: ScalingActions) -> None:
-        """Queue what the scheduler has decided."""
+        """Queues the launches and deletions that the scheduler decided on."""
         for request in step.launches:
             try:
                 self._launch_queue.put_nowait(request)
             except queue.Full:
-                # Waiting for a place would hold up the deletions behind it, of cancelled work's machines too.
+                # Do not block: that would delay the deletions, among them those of machines where cancelled
+                # tasks may still run.
                 self._scheduler.on_launch_failed(request)
         for deletion in step.deletions:
             self._deletions.put(deletion.machine)
 
     def pace(self) -> None:
-        """Wait until the cloud's limit of requests allows one more, PACE_ATTEMPTS * PACE_S at the most."""
+        """Waits until the cloud's rate limit allows another request, at most PACE_ATTEMPTS * PACE_POLL_S."""
         for _ in range(PACE_ATTEMPTS):
             if self._rate.available() >= 1.0:
                 break
-            self._pause(threading.Event(), PACE_S)
+            self._pause(threading.Event(), PACE_POLL_S)
         self._rate.take(1.0)
 
     def list_step(self) -> float:
-        """Read the list of machines, page by page within the rate."""
+        """Reads the list of machines, page by page within the rate limit."""
         if not self._scheduler.leader:
             return LIST_PERIOD_S
         began = self._clock()
@@ -115,7 +116,7 @@
         return max(LIST_PERIOD_S, pages / (self._rps * LIST_SHARE) - (self._clock() - began))
 
     def catalog_step(self) -> float:
-        """Read the catalog; prices change."""
+        """Reads the catalog, regularly since prices change."""
         self.pace()
         types = self._cloud.catalog()
         first = not self._scheduler.types
@@ -125,12 +126,12 @@
         return LEADER_CATALOG_PERIOD_S if self._scheduler.leader else CATALOG_PERIOD_S
 
     def launch_step(self) -> float:
-        """Carry out the next launch request."""
+        """Sends the next queued launch request."""
         self.launch(self._launch_queue.get())
         return PAUSE_AFTER_CALL_S
 
     def launch(self, request: LaunchRequest) -> None:
-        """Launch under a name that no request, of whatever process, has had before."""
+        """Sends a launch request under a name that no request of any process has used before."""
         self._requests += 1
         name = f"{self._request_prefix}-{self._requests}"
         count = min(request.count, MAX_PER_LAUNCH)
@@ -147,7 +148,8 @@
             except NoCapacityError:
                 break
             except CloudBusyError as error:
-                # The same request may be repeated: if it was carried out, the answer is the same.
+                # The retry is idempotent: if the cloud has already processed the request of this name, it
+                # returns the same response.
                 log.info(
                     "launch request not answered: request=%s attempt=%d error=%s", name, attempt + 1, error
                 )
@@ -161,7 +163,7 @@
         self._scheduler.on_launched(request, machines, began)
 
     def delete_step(self) -> float:
-        """Carry out the next deletions, many in a request."""
+        """Sends the next queued deletions, up to `MAX_PER_DELETION` in one request."""
         names = [self._deletions.get()]
         while len(names) < MAX_PER_DELETION:
             try:
@@ -171,11 +173,14 @@
         return PAUSE_AFTER_CALL_S if self.delete(names) else PAUSE_AFTER_FAILED_DELETION_S
 
     def delete(self, names: list[str]) -> bool:
-        """Delete machines, and say whether the cloud confirmed it; only its 200 proves that their tasks are
-        gone."""
+        """Deletes machines and returns whether the cloud confirmed it.
+
+        Only status 200 proves that the tasks on the machines no longer run.
+        """
         self.pace()
         if not self._leadership.is_verified_leader():
-            # Decided before a pause of this process perhaps, and the machines are another leader's by now.
+            # This process may have been paused since the decision, and another leader may manage the
+            # machines by now.
             overdue = self._scheduler.overdue() if self._leadership.no_competing_leader() else set()
             self._scheduler.not_deleted([name for name in names if name not in overdue])
             names = [name for name in names if name in overdue]
--- a/bayford/coordination/leader/scaling_actions.py
+++ b/bayford/coordination/leader/scaling_actions.py
@@ -1,11 +1,11 @@
-"""What the autoscaler asks of the cloud, and what `cloud_operations` carries out."""
+"""Launches and deletions that the autoscaler decides on and `cloud_operations` carries out."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class LaunchRequest:
-    """Machines to ask the cloud for; type and zone by the cloud's names."""
+    """A number of machines to launch. `type` and `zone` are the cloud's names."""
 
     type: str
     zone: str
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deletion:
-    """A machine to give back to the cloud, and why."""
+    """A machine to delete, and the reason."""
 
     machine: str
     reason: str
--- a/bayford/coordination/leader/scaling_loop.py
+++ b/bayford/coordination/leader/scaling_loop.py
@@ -1,4 +1,4 @@
-"""Hands the autoscaler's decisions to the cloud, and writes what has become of lost zones."""
+"""Passes the autoscaler's decisions to the cloud operations, and writes the zone records."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 class ScalingLoop:
-    """Run by one thread."""
+    """Runs scaling and zone monitoring periodically. All methods are called by one thread."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         writes: TokenBucket,
         clock: Callable[[], float],
     ) -> None:
-        """`writes`: the leader's rate of changes."""
+        """`writes`: limits the leader's rate of changes to the store."""
         self._scheduler = scheduler
         self._cloud_operations = cloud_operations
         self._verifier = verifier
@@ -43,36 +43,42 @@
         self._store = store
         self._writes = writes
         self._clock = clock
-        self._listening_since = clock()  # heartbeats have been taken without a break
+        self._accepting_since = clock()  # heartbeats have not been rejected since then
 
     def step(self) -> float:
-        """Decide once and have the decisions carried out."""
+        """Makes one round of decisions and queues the resulting launches and deletions.
+
+        Returns the seconds to wait until the next call.
+        """
         if self._scheduler.leader:
             self._cloud_operations.carry_out(self.scaling_once())
-        # Last: a write that fails in an outage must not keep overdue machines from being deleted.
+        # This comes last: a write that fails during an outage must not prevent the deletion of overdue
+        # machines.
         if self._scheduler.leader and self._scheduler.policy.recovery:
             self.monitor_zones()
         return STEP_PERIOD_S
 
     def scaling_once(self) -> ScalingActions:
-        """What to launch and to delete now; nothing while leadership is not verified.
+        """Returns the machines to launch and to delete now.
 
-        Meanwhile heartbeats are turned away, so that a silent machine means nothing: silence counts from when
-        they are taken again. Otherwise the end of a long outage would be the end of the fleet.
+        While leadership is not verified, nothing is launched and at most overdue machines are deleted.
+        Heartbeats are rejected during that time, so silence is measured only from when they are accepted
+        again. Otherwise all machines would appear silent after a long outage, and the whole fleet would be
+        deleted.
         """
         if self._verifier.is_verified_leader():
-            return self._scheduler.scaling_step(self._listening_from())
-        self._listening_since = self._clock()
+            return self._scheduler.scaling_step(self._listening_since())
+        self._accepting_since = self._clock()
         if self._verifier.no_competing_leader():
             return self._scheduler.overdue_step()
         return ScalingActions()
 
     def monitor_zones(self) -> None:
-        """Update the states of the zones and write what has changed."""
+        """Updates the states of the zones and writes the records that have changed."""
         facts = LeadershipFacts(
             self._verifier.is_verified_leader(),
             self._connectivity.store_reachable(),
-            self._clock() - self._listening_from(),
+            self._clock() - self._listening_since(),
         )
         puts = self._scheduler.monitor_zones(facts, self._peers.reach_by_zone())
         if not puts:
@@ -86,6 +92,6 @@
             self._scheduler.zones_not_written(puts)
             raise
 
-    def _listening_from(self) -> float:
-        """Since when heartbeats have been taken: neither turned away nor missed in a stall."""
-        return max(self._listening_since, self._stall_detector.resumed_at())
+    def _listening_since(self) -> float:
+        """Returns the time since which heartbeats have been neither rejected nor missed during a stall."""
+        return max(self._accepting_since, self._stall_detector.resumed_at())
--- a/bayford/coordination/leader/service_capacity.py
+++ b/bayford/coordination/leader/service_capacity.py
@@ -1,4 +1,4 @@
-"""The machines that are kept up for long-running services, with a reserve for those to come."""
+"""The machines that are kept running for services, with a reserve for services to come."""
 
 from collections.abc import Sequence
 
@@ -8,23 +8,25 @@
 from bayford.scheduling.model import Job, JobSpec, Machine
 from bayford.scheduling.scaling import Group, MachinePool, PooledMachine
 
-MachineCounts = dict[frozenset[MachinePool], dict[int, float]]  # by pools and machine type
+MachineCounts = dict[
+    frozenset[MachinePool], dict[int, float]
+]  # number of machines, by set of pools and by machine type
 
 
 class ServiceCapacity:
-    """How many machines the services need. Called under the lock of the leader's state."""
+    """Computes how many machines the services need. The lock of the leader's state must be held."""
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
 
-    def groups(self, now: float) -> list[Group]:
-        """The services by the pools that may serve them, with the reserve for what comes next.
+    def group_services(self, now: float) -> list[Group]:
+        """Returns the services grouped by the pools that may serve them, with the reserve for new services.
 
-        Services of on-demand machines alone: these boot in longer than a service may be down, so their
-        capacity has to be up before it is needed. It is not idle meanwhile: other work runs there and is
-        preempted at once. The reserve grows with the services that run and with what was accepted lately,
-        which is the pace at which it grows; where the users' objectives name services and none has come yet,
-        there is a floor.
+        Includes only services that are limited to on-demand machines. Such machines take longer to boot than
+        a service may be down, so their capacity must be up before it is needed. Meanwhile other work uses it
+        and is preempted at once when a service needs it. The reserve is a share of the present services plus
+        the replicas accepted recently, which show how fast the services grow. A minimum is kept if there are
+        services, or if the users' objectives name services and none has been submitted yet.
         """
         counts: MachineCounts = {}
         services = [job for job in self._state.jobs.values() if job.is_service and not job.cancelled]
@@ -44,7 +46,7 @@
         return [Group(pools, machines) for pools, machines in counts.items()]
 
     def _recent_services(self, now: float, boot_s: float) -> list[Job]:
-        """Services accepted within some boot times; older ones are forgotten."""
+        """Returns the services accepted within the last `service_boot_times` boot times; drops older ones."""
         state = self._state
         since = now - state.policy.service_boot_times * boot_s
         state.recent_services = [entry for entry in state.recent_services if entry[0] > since]
@@ -54,7 +56,7 @@
         self, counts: MachineCounts, pools: frozenset[MachinePool], spec: JobSpec, replicas: float
     ) -> None:
         if not pools or any(pool.spot for pool in pools):
-            return  # what spot machines may serve is served by the fleet that is there anyhow
+            return  # services that may use spot machines are served by the rest of the fleet
         machines = counts.setdefault(pools, {})
         for type_index in {pool.type for pool in pools}:
             per_machine = scaling.slots(self._state.types[type_index], spec.cpus, spec.gpus, spec.mem_gb)
@@ -63,12 +65,16 @@
     def _add_floor(
         self, counts: MachineCounts, service_pools: list[frozenset[MachinePool]], boot_s: float
     ) -> None:
-        """The least that is kept up, in the largest set of pools that serves a service, or in all pools."""
+        """Adds the minimum capacity to the largest set of pools that may serve a present service.
+
+        If there is no service, all on-demand pools are used.
+        """
         state = self._state
         pools = max(service_pools, key=len, default=self._on_demand_pools())
         if not pools or any(pool.spot for pool in pools):
             return
-        # Where a service may take longer to start than a machine to boot, less has to be up beforehand.
+        # If services may take longer to start than a machine takes to boot, less capacity is needed in
+        # advance.
         start_target_s = state.objectives.service_start_target_s
         share = min(1.0, boot_s / start_target_s) if start_target_s else 1.0
         machines = counts.setdefault(pools, {})
@@ -86,13 +92,16 @@
         )
 
     def kept_machines(self, groups: list[Group], present: Sequence[PooledMachine]) -> set[int]:
-        """The on-demand machines that the services and their reserve need: those with the most replicas
-        first, so that none has to move for another to go back."""
+        """Returns the on-demand machines that the services and their reserve need.
+
+        Machines with the most replicas are chosen first, so that no replica has to move when other machines
+        are deleted.
+        """
         kept: set[int] = set()
         if not groups:
             return kept
         on_demand = [entry for entry in present if not entry.pool.spot]
-        replicas = {machine.index: _replicas_on(machine) for _, machine in on_demand}
+        replicas = {machine.index: _count_replicas(machine) for _, machine in on_demand}
         on_demand.sort(
             key=lambda entry: (
                 -replicas[entry.machine.index],
@@ -109,5 +118,5 @@
         return kept
 
 
-def _replicas_on(machine: Machine) -> int:
+def _count_replicas(machine: Machine) -> int:
     return sum(placement.job.is_service for placement in machine.open.values())
--- a/bayford/coordination/leader/waiting_demand.py
+++ b/bayford/coordination/leader/waiting_demand.py
@@ -1,4 +1,4 @@
-"""How much work waits for machines, and which machine pools may serve it."""
+"""Estimates how much work waits for machines and which machine pools may serve it."""
 
 import math
 from collections.abc import Sequence
@@ -10,11 +10,13 @@
 from bayford.scheduling.model import EPS, URGENT, Job
 from bayford.scheduling.scaling import Demand, MachinePool, PooledMachine
 
-NO_FLEET_BACKLOG_S = 1e9  # work waits and there is no machine: the default of `ordinary_after_s`, or more
+NO_FLEET_BACKLOG_S = (
+    1e9  # used if work waits and the fleet is empty; at least the default of `ordinary_after_s`
+)
 
 
 def pools_for(state: LeaderState, job: Job) -> frozenset[MachinePool]:
-    """The machine pools that may serve the job. Called under the lock of the state."""
+    """Returns the machine pools that may serve the job. The lock of the state must be held."""
     pools = set()
     for type_index, machine_type in enumerate(state.types):
         if not machine_type.zones or not machine_type.fits(job.spec):
@@ -33,46 +35,54 @@
 
 @dataclass(slots=True)
 class _FleetCapacity:
-    """The fleet, machines being launched included, while the queue is gone through."""
+    """Capacity of the fleet, including machines being launched, that remains while the queue is traversed."""
 
     pool_cpus: dict[MachinePool, float]
-    preemptible_cpus: dict[MachinePool, float]  # what urgent work may have, less what is counted for it
-    headroom_cpus: dict[int, float]  # by team, less the demand counted so far
-    spot_cpus: float  # present alone, without those being launched
-    cpus: float  # for work that ends: without what services hold, with on-demand machines counted so far
+    # Available to urgent work, less the urgent demand counted so far.
+    preemptible_cpus: dict[MachinePool, float]
+    headroom_cpus: dict[int, float]  # by team, in CPUs below its limit, less the demand counted so far
+    spot_cpus: float  # of present spot machines, excluding those being launched
+    # Available to work that ends: excludes the CPUs that services use, includes the on-demand machines
+    # counted so far.
+    cpus: float
     backlog_cpu_s: float  # CPU seconds of the running tasks and of the demand counted so far
     deadlines_need_on_demand: bool = False
 
     def take_headroom(self, job: Job, count: int) -> int:
-        """How many of `count` tasks their team's limit allows beside the demand counted so far."""
+        """Subtracts up to `count` tasks from the headroom of the job's team and returns how many fit.
+
+        The headroom is what the team's limit leaves after the demand counted so far.
+        """
         if job.spec.cpus > 0:
             count = int(min(count, (self.headroom_cpus[job.team] + EPS) / job.spec.cpus))
         self.headroom_cpus[job.team] -= count * job.spec.cpus
         return count
 
     def take_preemptible(self, pools: frozenset[MachinePool], cpus: float) -> float:
-        """Take up to `cpus` of what urgent work may have in these pools; how much that was. The spot pools
-        first, since some work may be served by the on-demand ones alone."""
+        """Subtracts up to `cpus` from the preemptible CPUs of these pools and returns the subtracted amount.
+
+        Spot pools are used first, since some work can be served by on-demand pools only.
+        """
         taken = 0.0
         for pool in sorted(pools, key=lambda pool: (not pool.spot, pool.type, pool.zone)):
-            part = min(cpus - taken, max(0.0, self.preemptible_cpus.get(pool, 0.0)))
-            if part > 0:
-                self.preemptible_cpus[pool] -= part
-                taken += part
+            cpus_taken = min(cpus - taken, max(0.0, self.preemptible_cpus.get(pool, 0.0)))
+            if cpus_taken > 0:
+                self.preemptible_cpus[pool] -= cpus_taken
+                taken += cpus_taken
         return taken
 
 
 class WaitingDemand:
-    """Counts the work that waits, for the autoscaler. Called under the lock of the leader's state."""
+    """Estimates the waiting work for the autoscaler. The lock of the leader's state must be held."""
 
     def __init__(self, state: LeaderState, queue: SchedulingQueue) -> None:
         self._state = state
         self._queue = queue
 
     def estimate(self, now: float, machines: Sequence[PooledMachine]) -> list[Demand]:
-        """The demand of each waiting job in the order of service, within the limits of the teams.
+        """Returns the demand of each waiting job in the order of service, within the teams' limits.
 
-        Also notes in the state whether the on-demand machines are needed, and of each job whether there are
+        Also stores in the state whether on-demand machines are needed, and in each job whether the fleet has
         spot machines that may serve it.
         """
         fleet = self._fleet_capacity(machines)
@@ -80,7 +90,7 @@
         for entry in self._queue.in_order(now, with_turns=False):
             count = fleet.take_headroom(entry.job, entry.count)
             if count > 0:
-                demands.append(self._demand(entry.job, count, fleet, now))
+                demands.append(self._count_demand(entry.job, count, fleet, now))
         self._state.on_demand_needed = fleet.deadlines_need_on_demand or not fleet.spot_cpus
         return demands
 
@@ -93,7 +103,8 @@
         spot_cpus = sum(cpus for pool, cpus in pool_cpus.items() if pool.spot)
         for pool, count in state.launching.items():
             pool_cpus[pool] = pool_cpus.get(pool, 0.0) + state.types[pool.type].cpus * count
-        # What services hold is not there for work that ends, and what they need is no backlog.
+        # Services never end: the CPUs that they use are unavailable to other work, and their demand is no
+        # backlog.
         service_cpus = sum(job.spec.cpus * len(job.open) for job in state.jobs.values() if job.is_service)
         running_cpu_s = sum(
             0.5 * state.expected(job) * job.spec.cpus * len(job.open)
@@ -110,24 +121,26 @@
         )
 
     def _preemptible_cpus(self, machines: Sequence[PooledMachine]) -> dict[MachinePool, float]:
-        """CPUs that urgent work may have by pool: all that it does not hold already, those of machines being
-        launched included."""
+        """Returns the CPUs available to urgent work, by pool.
+
+        These are all CPUs that urgent work does not use already, including those of machines being launched.
+        """
         preemptible: dict[MachinePool, float] = {}
         for pool, machine in machines:
-            held = sum(p.job.spec.cpus for p in machine.open.values() if p.job.spec.priority >= URGENT)
-            preemptible[pool] = preemptible.get(pool, 0.0) + machine.cpus - held
+            urgent_cpus = sum(p.job.spec.cpus for p in machine.open.values() if p.job.spec.priority >= URGENT)
+            preemptible[pool] = preemptible.get(pool, 0.0) + machine.cpus - urgent_cpus
         for pool, count in self._state.launching.items():
             launching_cpus = self._state.types[pool.type].cpus * count
             preemptible[pool] = preemptible.get(pool, 0.0) + launching_cpus
         return preemptible
 
-    def _demand(self, job: Job, count: int, fleet: _FleetCapacity, now: float) -> Demand:
-        """The demand of `count` waiting tasks, which it counts against the fleet."""
-        pools = self._open_pools(job)
+    def _count_demand(self, job: Job, count: int, fleet: _FleetCapacity, now: float) -> Demand:
+        """Returns the demand of `count` waiting tasks and subtracts it from the fleet's capacity."""
+        pools = self._find_allowed_pools(job)
         host_cpus = sum(fleet.pool_cpus.get(pool, 0.0) for pool in pools)
         spot_cpus = sum(fleet.pool_cpus.get(pool, 0.0) for pool in pools if pool.spot)
         job.spot_hosts = spot_cpus > 0
-        on_demand = 0 if job.is_service else self._worth_on_demand(job, count, pools, fleet, now)
+        on_demand = 0 if job.is_service else self._count_on_demand_tasks(job, count, pools, fleet, now)
         urgent = job.spec.priority >= URGENT
         return Demand(
             pools=pools,
@@ -144,22 +157,25 @@
             is_service=job.is_service,
         )
 
-    def _open_pools(self, job: Job) -> frozenset[MachinePool]:
+    def _find_allowed_pools(self, job: Job) -> frozenset[MachinePool]:
         pools = pools_for(self._state, job)
         if job.spec.one_zone or job.spec.spread:
-            # A machine in a zone that is closed to what still waits is launched in vain, and again and
-            # again.
+            # The placement rules exclude some zones for the tasks that still wait. A machine launched there
+            # would stay unused, and since the demand remained, further machines would be launched.
             zone_counts = placement_rules.placements_by_zone(job, self._state.zone_of)
             return frozenset(
                 pool for pool in pools if placement_rules.zone_allowed(job, pool.zone, zone_counts)
             )
         return pools
 
-    def _worth_on_demand(
+    def _count_on_demand_tasks(
         self, job: Job, count: int, pools: frozenset[MachinePool], fleet: _FleetCapacity, now: float
     ) -> int:
-        """How many of the job's tasks are worth on-demand machines: these are launched only where they still
-        make the difference between a deadline met and missed, and only as many as that takes."""
+        """Returns how many of the job's tasks justify on-demand machines.
+
+        On-demand machines are launched only if the deadline would be missed without them and can still be met
+        with them, and only as many as that requires.
+        """
         run_s = self._state.expected(job)
         fleet.backlog_cpu_s += count * job.spec.cpus * run_s
         due_s = self._state.due_s(job)
@@ -179,14 +195,16 @@
 
 
 def backlog_s(demands: Sequence[Demand], state: LeaderState, machines: Sequence[PooledMachine]) -> float:
-    """How long the fleet, machines being launched included, takes for the waiting work that ends. Called
-    under the lock of the state."""
+    """Returns the seconds that the fleet, including machines being launched, needs for the waiting work.
+
+    Services are not counted, since they never end. The lock of the state must be held.
+    """
     cpus = 0.0
     for _, machine in machines:
         cpus += machine.cpus
     for pool, count in state.launching.items():
         cpus += state.types[pool.type].cpus * count
-    work = sum(demand.tasks * demand.cpus * demand.run_s for demand in demands if not demand.is_service)
+    work_cpu_s = sum(demand.tasks * demand.cpus * demand.run_s for demand in demands if not demand.is_service)
     if cpus:
-        return work / cpus
-    return NO_FLEET_BACKLOG_S if work else 0.0
+        return work_cpu_s / cpus
+    return NO_FLEET_BACKLOG_S if work_cpu_s else 0.0
--- a/bayford/coordination/leader/zone_monitor.py
+++ b/bayford/coordination/leader/zone_monitor.py
@@ -1,6 +1,7 @@
-"""The leader's watch over its zones: states, what is closed meanwhile, and the record of each loss.
+"""Tracks the state of each zone for the leader, closes zones that are not up, and records each loss.
 
-The transitions are those of `recovery.zone_health`. All of it is called under the lock of the leader's state.
+The state transitions are defined in `recovery.zone_health`. The lock of the leader's state must be held for
+all calls.
 """
 
 import logging
@@ -26,22 +27,25 @@
 
 log = logging.getLogger(__name__)
 
-MISSED_HEARTBEATS = 2.5  # a machine that missed so many heartbeats is silent
-HEARTBEATS_TO_VERIFY = 2  # a machine of a zone that returns gets work after so many heartbeats
-WRITE_PERIOD_S = 2.0  # from one write of task outcomes to the next, at the least
+MISSED_HEARTBEATS = 2.5  # heartbeat intervals without a heartbeat after which a machine is silent
+HEARTBEATS_TO_VERIFY = 2  # heartbeats from a machine of a returning zone before it gets work
+WRITE_PERIOD_S = 2.0  # minimum time between two writes of task outcomes
 
 NO_MACHINES = ZoneFacts(machines=0, alive=0, answering=0)
 
 
 class _HeartbeatCount(NamedTuple):
-    """Heartbeats of one machine since its zone began to return."""
+    """Heartbeats of one machine since its zone became returning."""
 
     received: int = 0
-    last: tuple[int, int] = (-1, -1)  # the machine's epoch, and the sequence number in it
+    last: tuple[int, int] = (-1, -1)  # the machine's epoch and its sequence number in that epoch
 
 
 class ZoneMonitor(LeaderListener):
-    """States of all zones, in this leader's term. Zones are known by their index in `LeaderState.zones`."""
+    """States of all zones during this leader's term.
+
+    Zones are identified by their index in `LeaderState.zones`.
+    """
 
     def __init__(self, state: LeaderState) -> None:
         self._state = state
@@ -54,19 +58,19 @@
             flap_memory_s=policy.recovery_flap_memory_s,
         )
         self._controllers: Mapping[str, str] = {}
-        self._begin_term()
+        self._start_term()
         state.events.subscribe(self)
 
-    def _begin_term(self) -> None:
+    def _start_term(self) -> None:
         self.statuses: dict[int, ZoneStatus] = {}
-        self.losses: dict[int, list[TaskOutcomes]] = {}  # by zone, the newest last
-        self._unwritten: set[int] = set()  # zones whose records have changed
+        self.losses: dict[int, list[TaskOutcomes]] = {}  # by zone, newest last
+        self._unwritten: set[int] = set()  # zones whose records have changed since the last write
         self._written_at = 0.0
-        self._heartbeats: dict[int, _HeartbeatCount] = {}  # by machine
+        self._heartbeat_counts: dict[int, _HeartbeatCount] = {}  # by machine
 
     def on_leadership_acquired(self) -> None:
-        """This controller has become leader: go on from the records of the leader before."""
-        self._begin_term()
+        """Restores the states and losses from the records that the previous leader stored."""
+        self._start_term()
         state = self._state
         if not state.policy.recovery:
             return
@@ -74,20 +78,23 @@
             zone = state.zones.find(name)
             try:
                 record = zone_record.decode(value)
-                status = self._status_of(record)
+                status = self._decode_status(record)
             except (zone_record.UnreadableRecordError, ValueError) as error:
-                log.error("zone record unreadable, taken for absent: zone=%s error=%s", name, error)
+                log.error("zone record unreadable, treated as absent: zone=%s error=%s", name, error)
                 continue
             if zone is not None:
                 self.statuses[zone] = status
                 self.losses[zone] = [TaskOutcomes.of(loss) for loss in record.losses]
-                self._note_missed_outcomes(zone)
-        self._publish()
+                self._record_missed_outcomes(zone)
+        self._update_scheduling_state()
+
+    def _decode_status(self, record: zone_record.ZoneRecord) -> ZoneStatus:
+        """Returns the stored status with times converted to this process's clock.
 
-    def _status_of(self, record: zone_record.ZoneRecord) -> ZoneStatus:
-        """The stored status, on this process's clock. ValueError: the stored state is unknown."""
+        Raises ValueError if the stored state is unknown.
+        """
         state = self._state
-        offset_s = state.clock() - state.wall()  # from the time of day to this clock
+        offset_s = state.clock() - state.wall()  # converts times of day to times of this clock
         loss = record.losses[-1] if record.losses else None
         return ZoneStatus(
             state=ZoneState(record.state),
@@ -100,16 +107,17 @@
     # -- states of zones -------------------------------------------------------------------------------
 
     def update(self, leader: LeadershipFacts, controllers: Mapping[str, str] = MappingProxyType({})) -> None:
-        """Advance the state of each zone by what is seen of it now.
+        """Advances the state of each zone according to the present state of its machines.
 
-        `controllers`: for the log, by zone: in words, which controllers are in reach there.
+        `controllers`: for the log, by zone name: text that states how many controllers of the zone are
+        reachable.
         """
         state = self._state
         self._controllers = controllers
         if not state.policy.recovery or not state.leader or not state.complete:
             return
         now = state.clock()
-        facts_by_zone = self._zone_facts(now)
+        facts_by_zone = self._count_machines(now)
         for zone in range(len(state.zones)):
             before = self.statuses.get(zone, ZoneStatus(since=now))
             unknown_reason = find_unknown_reason(leader, facts_by_zone, zone, self.times)
@@ -128,16 +136,16 @@
                     after.state,
                     after.unknown_reason,
                 )
-        self._note_cancelled()
-        self._publish()
+        self._record_cancelled()
+        self._update_scheduling_state()
 
-    def _zone_facts(self, now: float) -> dict[int, ZoneFacts]:
-        """What is seen now of each zone that has machines."""
+    def _count_machines(self, now: float) -> dict[int, ZoneFacts]:
+        """Returns the present machine counts of each zone that has machines."""
         silent_after_s = MISSED_HEARTBEATS * self.times.heartbeat_interval_s
         facts_by_zone: dict[int, ZoneFacts] = {}
         for machine in self._state.machines.values():
-            # A new leader has had no heartbeat from machines of a zone that was lost before its term: it
-            # knows them by the tasks that the task log has there.
+            # A new leader has received no heartbeat from machines of a zone that was lost before its term:
+            # such machines are counted if the task log has open tasks on them.
             if machine.zone is None or not (machine.registered or machine.open):
                 continue
             since = self.statuses[machine.zone].since if machine.zone in self.statuses else 0.0
@@ -156,7 +164,7 @@
         losses = self.losses.setdefault(zone, [])
         if after.state is ZoneState.LOST:
             outcomes = TaskOutcomes(
-                suspected=wall - (after.since - after.suspected), lost=wall, open=self._tasks_in(zone)
+                suspected=wall - (after.since - after.suspected), lost=wall, open=self._find_open_tasks(zone)
             )
             losses.append(outcomes)
             log.error("zone lost: zone=%s tasks=%d", name, len(outcomes.open))
@@ -173,16 +181,16 @@
                 self._controllers.get(name, "none"),
             )
         if after.state is ZoneState.RETURNING:
-            self._heartbeats = {
+            self._heartbeat_counts = {
                 machine: heartbeats
-                for machine, heartbeats in self._heartbeats.items()
+                for machine, heartbeats in self._heartbeat_counts.items()
                 if state.zone_of(machine) != zone
             }
         self._unwritten.add(zone)
-        self._written_at = 0.0  # written at once
+        self._written_at = 0.0  # the next `puts` writes at once
 
-    def _tasks_in(self, zone: int) -> set[TaskKey]:
-        """The tasks with an open placement on a machine of the zone."""
+    def _find_open_tasks(self, zone: int) -> set[TaskKey]:
+        """Returns the tasks with an open placement on a machine of the zone."""
         return {
             (placement.job.spec.id, placement.task)
             for machine in self._state.machines.values()
@@ -191,7 +199,10 @@
         }
 
     def _forget_unused_images(self, zone: int) -> None:
-        """Machines that return may have lost their images, but for those of tasks that are still there."""
+        """Removes the images of the zone's machines from the state, except images of open placements.
+
+        The machines may have lost the other images during the outage.
+        """
         state = self._state
         for machine in state.machines.values():
             if machine.zone != zone:
@@ -201,28 +212,31 @@
                 del machine.images[image]
                 state.capacity_index.dropped(machine, image)
 
-    def _publish(self) -> None:
-        """Hand the scheduling rounds what they go by."""
+    def _update_scheduling_state(self) -> None:
+        """Stores in the state the zones and machines that the scheduling rounds depend on."""
         state = self._state
         state.closed_zones = frozenset(zone for zone, status in self.statuses.items() if status.state.closed)
         state.returning_zones = frozenset(
             zone for zone, status in self.statuses.items() if status.state is ZoneState.RETURNING
         )
-        state.verified_machines = self._verified_machines() if state.returning_zones else frozenset()
+        state.verified_machines = self._find_verified_machines() if state.returning_zones else frozenset()
+
+    def _find_verified_machines(self) -> frozenset[int]:
+        """Returns the machines of returning zones that have sent two heartbeats since the zone became
+        returning.
 
-    def _verified_machines(self) -> frozenset[int]:
-        """Machines of returning zones that have sent two heartbeats since: a single one may have been delayed
-        by the cut, and its machine be gone."""
+        A single heartbeat may have been delayed by the network partition while its machine no longer exists.
+        """
         verified = set()
         for index, machine in self._state.machines.items():
             if machine.zone not in self._state.returning_zones or not machine.registered:
                 continue
             latest = (machine.epoch, machine.sequence)
-            heartbeats = self._heartbeats.get(index, _HeartbeatCount())
+            heartbeats = self._heartbeat_counts.get(index, _HeartbeatCount())
             since = self.statuses[machine.zone].since
             if latest != heartbeats.last and machine.last_heartbeat_at >= since:
                 heartbeats = _HeartbeatCount(heartbeats.received + 1, latest)
-                self._heartbeats[index] = heartbeats
+                self._heartbeat_counts[index] = heartbeats
             if heartbeats.received >= HEARTBEATS_TO_VERIFY:
                 verified.add(index)
         return frozenset(verified)
@@ -244,8 +258,8 @@
             if any(outcomes.note_placed(key, machine) for outcomes in losses):
                 self._unwritten.add(zone)
 
-    def _note_missed_outcomes(self, zone: int) -> None:
-        """Note outcomes between the last record of the leader before and the beginning of this term."""
+    def _record_missed_outcomes(self, zone: int) -> None:
+        """Records outcomes that occurred between the previous leader's last write and this term's start."""
         state = self._state
         for outcomes in self.losses[zone]:
             for key in list(outcomes.open):
@@ -259,7 +273,7 @@
                     continue
                 self._unwritten.add(zone)
 
-    def _note_cancelled(self) -> None:
+    def _record_cancelled(self) -> None:
         for zone, losses in self.losses.items():
             for outcomes in losses:
                 for key in [key for key in outcomes.open if self._is_cancelled(key)]:
@@ -267,10 +281,10 @@
                     self._unwritten.add(zone)
 
     def _is_cancelled(self, key: TaskKey) -> bool:
-        """Whether the task is wanted no more and nothing of it is on a machine.
+        """Returns whether the task was cancelled and has no open placement.
 
-        A job that the state does not hold is over. Had it not been cancelled, the end of this task would have
-        been noted.
+        A job that is missing from the state has ended. If it had not been cancelled, the end of this task
+        would have been recorded.
         """
         job_id, task = key
         job = self._state.jobs.get(job_id)
@@ -279,32 +293,33 @@
     # -- records ---------------------------------------------------------------------------------------
 
     def puts(self) -> list[Put]:
-        """The records to write now. The caller writes them under the leader's term."""
+        """Returns the records to write now. The caller writes them on condition of the leader's term."""
         state = self._state
         now = state.clock()
         if not self._unwritten or now - self._written_at < WRITE_PERIOD_S:
             return []
         self._written_at = now
         puts = [
-            Put(zone_record.key(state.zones[zone]), self._encoded(zone)) for zone in sorted(self._unwritten)
+            Put(zone_record.key(state.zones[zone]), self._encode_record(zone))
+            for zone in sorted(self._unwritten)
         ]
         self._unwritten.clear()
         return puts
 
     def not_written(self, puts: list[Put]) -> None:
-        """The write of these records failed, or its outcome is unknown: they are written again."""
+        """Marks these records to be written again, after a write that failed or whose outcome is unknown."""
         for put in puts:
             zone = self._state.zones.find(put.key[len(zone_record.key("")) :])
             if zone is not None:
                 self._unwritten.add(zone)
 
-    def _encoded(self, zone: int) -> object:
-        """The stored form of a zone's record; losses beyond the bound are dropped."""
+    def _encode_record(self, zone: int) -> object:
+        """Returns the stored form of a zone's record; drops the oldest losses beyond `MAX_LOSSES`."""
         state = self._state
         status = self.statuses[zone]
         losses = self.losses.setdefault(zone, [])
         del losses[: -zone_record.MAX_LOSSES]
-        offset_s = state.wall() - state.clock()  # from this clock to the time of day
+        offset_s = state.wall() - state.clock()  # converts times of this clock to times of day
         record = zone_record.ZoneRecord(
             zone=state.zones[zone],
             state=status.state.value,
--- a/bayford/recovery/__init__.py
+++ b/bayford/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Loss and return of zones: pure decisions, and what is stored of them."""
+"""Loss and return of zones: state transitions, task outcomes and stored records. No I/O."""
--- a/bayford/recovery/task_outcomes.py
+++ b/bayford/recovery/task_outcomes.py
@@ -1,65 +1,66 @@
-"""What becomes of the tasks that were in a zone when it was lost. No I/O; callers lock."""
+"""Outcomes of the tasks that were in a zone when it was lost. No I/O; callers provide locking."""
 
 from dataclasses import dataclass, field
 
 from bayford.recovery.zone_record import Loss, RerunTask
 from bayford.storage.task_ranges import decode_ranges, encode_ranges
 
-TaskKey = tuple[str, int]  # the job's id, the number of the task in it
+TaskKey = tuple[str, int]  # the job's id and the task's number in the job
 
 
 @dataclass(slots=True)
 class TaskOutcomes:
-    """One loss, task by task. Each task has exactly one outcome at any time; `open` until another is noted.
+    """The outcome of each task in one loss of a zone.
 
-    The `note_` methods return whether the task was open: only then its outcome changes.
+    Each task has exactly one outcome at any time. It is `open` until one of the `note_` methods records
+    another; these return whether the task was open and leave any other outcome unchanged.
     """
 
-    suspected: float  # time of day, as all of these
+    suspected: float  # time of day in seconds, like the next two
     lost: float = 0.0
     returned: float = 0.0
     open: set[TaskKey] = field(default_factory=set)
     finished: set[TaskKey] = field(default_factory=set)
-    rerun: dict[TaskKey, str] = field(default_factory=dict)  # the machine that it was placed on
+    rerun: dict[TaskKey, str] = field(default_factory=dict)  # the machine that the task was placed on again
     cancelled: set[TaskKey] = field(default_factory=set)
-    ended_unseen: set[TaskKey] = field(default_factory=set)  # between two leaders: neither saw where
+    ended_unseen: set[TaskKey] = field(default_factory=set)  # ended between two terms; the machine is unknown
 
-    def _close(self, key: TaskKey) -> bool:
-        """Take the task from the open ones; whether it was there."""
+    def _remove_open(self, key: TaskKey) -> bool:
+        """Removes the task from the open ones and returns whether it was open."""
         was_open = key in self.open
         self.open.discard(key)
         return was_open
 
     def note_done(self, key: TaskKey) -> bool:
-        """An attempt of the task that was there has ended well."""
-        if not self._close(key):
+        """Records that an attempt of the task in the lost zone has succeeded."""
+        if not self._remove_open(key):
             return False
         self.finished.add(key)
         return True
 
     def note_placed(self, key: TaskKey, machine: str) -> bool:
-        """The task has been placed once more."""
-        if not self._close(key):
+        """Records that the task has been placed again, on `machine`."""
+        if not self._remove_open(key):
             return False
         self.rerun[key] = machine
         return True
 
     def note_cancelled(self, key: TaskKey) -> bool:
-        """The task's job is cancelled and nothing of the task is left on a machine."""
-        if not self._close(key):
+        """Records that the task's job is cancelled and the task has no open placement."""
+        if not self._remove_open(key):
             return False
         self.cancelled.add(key)
         return True
 
     def note_ended_unseen(self, key: TaskKey) -> bool:
-        """The task had ended when the next leader began."""
-        if not self._close(key):
+        """Records that the task had already ended when the next leader's term began."""
+        if not self._remove_open(key):
             return False
         self.ended_unseen.add(key)
         return True
 
     def record(self) -> Loss:
-        """The loss as it is stored."""
+        """Returns the stored form of the loss."""
         rerun: dict[str, list[RerunTask]] = {}
         for (job_id, task), machine in sorted(self.rerun.items()):
             rerun.setdefault(job_id, []).append(RerunTask(task, machine))
@@ -76,20 +77,20 @@
 
     @staticmethod
     def of(loss: Loss) -> "TaskOutcomes":
-        """From the loss as it is stored; tasks that it only counts are left out."""
+        """Restores the outcomes from a stored loss; omits tasks that are stored only as counts."""
         return TaskOutcomes(
             suspected=loss.suspected,
             lost=loss.lost,
             returned=loss.returned,
-            open=_keys(loss.open),
-            finished=_keys(loss.finished),
+            open=_task_keys(loss.open),
+            finished=_task_keys(loss.finished),
             rerun={
                 (job_id, rerun.task): rerun.machine
                 for job_id, reruns in loss.rerun.items()
                 for rerun in reruns
             },
-            cancelled=_keys(loss.cancelled),
-            ended_unseen=_keys(loss.ended_unseen),
+            cancelled=_task_keys(loss.cancelled),
+            ended_unseen=_task_keys(loss.ended_unseen),
         )
 
 
@@ -100,5 +101,5 @@
     return {job_id: encode_ranges(tasks) for job_id, tasks in sorted(tasks_by_job.items())}
 
 
-def _keys(ranges_by_job: dict[str, list[int]]) -> set[TaskKey]:
-    return {(job_id, task) for job_id, flat in ranges_by_job.items() for task in decode_ranges(flat)}
+def _task_keys(ranges_by_job: dict[str, list[int]]) -> set[TaskKey]:
+    return {(job_id, task) for job_id, ranges in ranges_by_job.items() for task in decode_ranges(ranges)}
--- a/bayford/recovery/zone_record.py
+++ b/bayford/recovery/zone_record.py
@@ -1,7 +1,7 @@
-"""What is stored of a zone's losses: when, what ran there, and what became of each task.
+"""The stored record of a zone's losses: their times, the tasks that were there, and each task's outcome.
 
-One value for each zone under `b/zone/<name>`, written by the leader and read by the next leader and by
-operators. Its size has a bound: the newest losses are stored task by task, older ones in numbers alone.
+There is one value per zone under `b/zone/<name>`. The leader writes it; the next leader and operators read
+it. Its size is limited: if necessary, older losses are stored as counts of tasks instead of lists.
 """
 
 from collections.abc import Mapping
@@ -13,39 +13,43 @@
 from bayford.storage.task_ranges import decode_ranges
 
 VERSION = 1
-MAX_LOSSES = 8  # that are stored of a zone
+MAX_LOSSES = 8  # maximum number of losses stored per zone
 
-# Outcomes of tasks as they are stored and reported.
+# Names of the task outcomes, as stored and reported.
 OPEN, FINISHED, RERUN, CANCELLED, ENDED_UNSEEN = "open", "finished", "again", "cancelled", "over"
 
 
 class UnreadableRecordError(Exception):
-    """A stored value that is not a zone's record of this form. Callers treat it as absent."""
+    """Raised for a stored value that is not a zone record of this version. Callers treat it as absent."""
 
 
 class RerunTask(msgspec.Struct, array_like=True):
-    """A task that was run again, and the machine that it went to."""
+    """A task that was placed again, and the machine that it was placed on."""
 
     task: int
     machine: str
 
 
 class Loss(msgspec.Struct, omit_defaults=True):
-    """One loss. Times of day, 0: not yet. Tasks by job, as ranges (`task_log.ranges`)."""
+    """One loss of a zone.
+
+    Times are times of day in seconds, 0 if the event has not occurred. Tasks are listed by job id, as ranges
+    (`task_ranges.encode_ranges`).
+    """
 
     suspected: float
     lost: float = 0.0
     returned: float = 0.0
-    open: dict[str, list[int]] = {}  # neither ended nor run again
-    finished: dict[str, list[int]] = {}  # there, although the zone was lost
+    open: dict[str, list[int]] = {}  # neither ended nor placed again
+    finished: dict[str, list[int]] = {}  # finished in the lost zone
     rerun: dict[str, list[RerunTask]] = msgspec.field(name=RERUN, default_factory=dict)
     cancelled: dict[str, list[int]] = {}
-    # Ended between two leaders: where, neither of them saw.
+    # Ended between two terms: neither leader learned on which machine.
     ended_unseen: dict[str, list[int]] = msgspec.field(name=ENDED_UNSEEN, default_factory=dict)
-    counts: dict[str, int] = {}  # by outcome, of tasks that are not stored one by one any more
+    counts: dict[str, int] = {}  # by outcome; tasks that are no longer listed individually
 
     def totals(self) -> dict[str, int]:
-        """How many tasks had which outcome, by its stored name."""
+        """Returns the number of tasks by outcome, under the outcome's stored name."""
         totals = dict(self.counts)
         by_outcome: Mapping[str, dict[str, list[int]]] = {
             OPEN: self.open,
@@ -59,8 +63,11 @@
         totals[RERUN] = totals.get(RERUN, 0) + sum(len(tasks) for tasks in self.rerun.values())
         return totals
 
-    def brief(self) -> "Loss":
-        """The same in numbers. Open tasks stay one by one, for the next leader has to follow them."""
+    def summarize(self) -> "Loss":
+        """Returns the loss with its tasks replaced by counts.
+
+        Open tasks stay listed, since the next leader has to track them.
+        """
         totals = self.totals()
         totals.pop(OPEN)
         return Loss(
@@ -69,48 +76,51 @@
 
 
 class ZoneRecord(msgspec.Struct):
-    """A zone's state and its losses, the newest last."""
+    """A zone's state and its losses, newest last."""
 
     zone: str
     state: str
     since: float  # time of day
     flaps: int = 0
     losses: list[Loss] = []
-    form: int = msgspec.field(name="v", default=VERSION)  # of the stored value
+    form: int = msgspec.field(name="v", default=VERSION)  # version of the stored format
 
 
 def key(zone: str) -> str:
-    """The key of a zone's record."""
+    """Returns the key of a zone's record."""
     return records.ZONES + zone
 
 
 def encode(record: ZoneRecord, max_bytes: int) -> Any:
-    """The value, in at most `max_bytes`: older losses first lose their details, then are dropped; last of all
-    the open tasks of the newest loss are only counted."""
+    """Returns the value to store, reduced to at most `max_bytes`.
+
+    The losses are first replaced by their summaries, oldest first. Then the oldest losses are dropped. As the
+    last resort the open tasks of the newest loss are only counted.
+    """
     losses = record.losses[-MAX_LOSSES:]
-    brief = 0  # so many of the oldest are stored in numbers
+    summarized = 0  # number of losses that are summarized, oldest first
     while True:
-        stored = [loss.brief() if n < brief else loss for n, loss in enumerate(losses)]
+        stored = [loss.summarize() if n < summarized else loss for n, loss in enumerate(losses)]
         value = msgspec.to_builtins(msgspec.structs.replace(record, losses=stored))
         if records.size(value) <= max_bytes:
             return value
-        if brief < len(losses):
-            brief += 1
+        if summarized < len(losses):
+            summarized += 1
         elif len(losses) > 1:
             losses = losses[1:]
-            brief = len(losses)
+            summarized = len(losses)
         else:
-            last = losses[0].brief()
+            last = losses[0].summarize()
             counted = msgspec.structs.replace(last, open={}, counts=losses[0].totals())
             return msgspec.to_builtins(msgspec.structs.replace(record, losses=[counted]))
 
 
 def decode(value: Any) -> ZoneRecord:
-    """A record from its value. UnreadableRecordError: it is not a zone's record of this form."""
+    """Decodes a stored value. Raises UnreadableRecordError if it is not a zone record of this version."""
     try:
         record = msgspec.convert(value, ZoneRecord)
     except msgspec.ValidationError as error:
-        raise UnreadableRecordError(f"not a zone's record: {error}") from error
+        raise UnreadableRecordError(f"zone record is malformed: {error}") from error
     if record.form != VERSION:
-        raise UnreadableRecordError(f"a zone's record of version {record.form}")
+        raise UnreadableRecordError(f"zone record has unsupported version {record.form}")
     return record
--- a/bayford/recovery/zone_report.py
+++ b/bayford/recovery/zone_report.py
@@ -1,4 +1,4 @@
-"""The record of zones as operators read it: text from a template, or JSON."""
+"""Formats zone records for operators, as text or as JSON."""
 
 from typing import Any
 
@@ -36,17 +36,17 @@
 """
 
 
-def _back(wall: float) -> str:
+def _format_return(wall: float) -> str:
     return f"returned {format_wall_time(wall)}" if wall else "not back"
 
 
-def _ranges(flat: list[int]) -> str:
-    """Task numbers in words. `flat`: first, last, first, last, …"""
-    pairs = zip(flat[::2], flat[1::2], strict=True)
+def _format_ranges(ranges: list[int]) -> str:
+    """Formats task numbers. `ranges`: first, last, first, last, …, both ends included."""
+    pairs = zip(ranges[::2], ranges[1::2], strict=True)
     return ", ".join(str(first) if first == last else f"{first}-{last}" for first, last in pairs)
 
 
-def _totals(loss: Loss) -> str:
+def _format_totals(loss: Loss) -> str:
     totals = loss.totals()
     tasks = sum(totals.values())
     return (
@@ -56,7 +56,7 @@
     )
 
 
-def _outcomes(loss: Loss) -> list[str]:
+def _format_outcomes(loss: Loss) -> list[str]:
     lines = [
         f"{job_id} run again: {', '.join(f'{rerun.task} on {rerun.machine}' for rerun in reruns)}"
         for job_id, reruns in loss.rerun.items()
@@ -67,20 +67,25 @@
         "over when a leader began": loss.ended_unseen,
         "open": loss.open,
     }
-    for outcome, jobs in by_outcome.items():
-        lines += [f"{job_id} {outcome}: {_ranges(flat)}" for job_id, flat in jobs.items()]
+    for outcome, ranges_by_job in by_outcome.items():
+        lines += [f"{job_id} {outcome}: {_format_ranges(ranges)}" for job_id, ranges in ranges_by_job.items()]
     return lines
 
 
 def as_text(zones: list[ZoneRecord]) -> str:
-    """For a terminal."""
+    """Returns the report as text for a terminal."""
     environment = jinja2.Environment(undefined=jinja2.StrictUndefined, autoescape=False)
-    environment.filters |= {"at": format_wall_time, "back": _back, "outcomes": _outcomes, "totals": _totals}
+    environment.filters |= {
+        "at": format_wall_time,
+        "back": _format_return,
+        "outcomes": _format_outcomes,
+        "totals": _format_totals,
+    }
     return environment.from_string(TEMPLATE).render(zones=zones).strip("\n")
 
 
 def as_json(zones: list[ZoneRecord]) -> str:
-    """For programs: the records as they are stored, and totals for each loss."""
+    """Returns the stored records as JSON for programs, with totals added to each loss."""
     reports: list[dict[str, Any]] = []
     for zone in zones:
         report = msgspec.to_builtins(zone)
--- a/tests/test_zone_records.py
+++ b/tests/test_zone_records.py
@@ -94,7 +94,7 @@
     cluster.store._change([put_zone_record("north", stored_value or 0)])
     cluster.boot(cluster.require_leader())
     run_for(cluster, 10.0, cloud=True)
-    assert any("taken for absent" in record.getMessage() for record in caplog.records)
+    assert any("treated as absent" in record.getMessage() for record in caplog.records)
     cluster.submit("n0", cluster.job(9, crew="open"))
     run_for(cluster, 5.0)
     assert cluster.query("n0", "req-000009") == "running"
