--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -45,15 +45,17 @@
             groups = self._services.group_services(now)
             self._state.service_machines = self._services.kept_machines(groups, present)
             actions.deletions += self._deletions.decide(now, bool(demands), listening_since)
-            # Exclude the machines that `decide` has just marked for deletion.
-            staying = [entry for entry in present if not entry.machine.deleting]
+            # `decide` has marked further machines for deletion.
+            remaining_machines = [entry for entry in present if not entry.machine.deleting]
             if self._list_is_complete():
-                actions.launches += self._plan_launches(now, demands, groups, staying)
+                actions.launches += self._plan_launches(now, demands, groups, remaining_machines)
         return actions
 
     def overdue(self) -> set[str]:
-        """Returns the names of machines that must be deleted even while no controller can verify that it is
-        the leader; see `MachineDeletions.overdue`."""
+        """Returns the machines to delete even while no controller can verify that it is the leader.
+
+        See `MachineDeletions.overdue`.
+        """
         with self._state.lock:
             return {machine.name for machine in self._deletions.overdue()}
 
@@ -91,7 +93,7 @@
     ) -> list[LaunchRequest]:
         state = self._state
         booting = dict(state.launching)
-        remaining = dict(state.launching)  # excludes machines that the cloud is about to reclaim
+        remaining = dict(state.launching)  # excludes machines about to be reclaimed
         for pool, machine in machines:
             if not machine.registered:
                 booting[pool] = booting.get(pool, 0) + 1
@@ -136,20 +138,20 @@
         Until then at most `recovery_least` machines are present or being launched there, to test the zone.
         """
         state = self._state
-        answering = {pool.zone for pool, machine in machines if machine.index in state.verified_machines}
-        paced = []
+        verified_zones = {pool.zone for pool, machine in machines if machine.index in state.verified_machines}
+        limited_plans = []
         for plan in plans:
             zone = plan.pool.zone
-            if zone in state.returning_zones and zone not in answering:
+            if zone in state.returning_zones and zone not in verified_zones:
                 launching = sum(count for pool, count in state.launching.items() if pool.zone == zone)
                 present = sum(pool.zone == zone for pool, _ in machines)
                 count = min(plan.count, state.policy.recovery_least - launching - present)
                 if count <= 0:
                     continue
-                paced.append(dataclasses.replace(plan, count=count))
+                limited_plans.append(dataclasses.replace(plan, count=count))
             else:
-                paced.append(plan)
-        return paced
+                limited_plans.append(plan)
+        return limited_plans
 
     # -- responses of the cloud ------------------------------------------------------------------------
 
@@ -188,25 +190,25 @@
         if entry.phase == "failed":
             machine.quarantined = machine.lost = True
 
-    def on_launched(self, order: LaunchRequest, names: list[str], at: float) -> None:
+    def on_launched(self, request: LaunchRequest, names: list[str], began: float) -> None:
         """Processes the response to a launch request.
 
         `names`: the launched machines, fewer than requested if the cloud lacks capacity, none if it refused.
-        `at`: when the request was started.
+        `began`: time of the first attempt to send the request.
         """
         with self._state.lock:
-            pool = self._pool(order)
-            self._add_launching(pool, -order.count)
+            pool = self._pool(request)
+            self._add_launching(pool, -request.count)
             now = self._state.clock()
-            if len(names) < order.count:
+            if len(names) < request.count:
                 self._state.refused[pool] = now + self._state.policy.refused_s
                 log.info(
                     "cloud lacks capacity: launched=%d requested=%d type=%s zone=%s spot=%s",
                     len(names),
-                    order.count,
-                    order.type,
-                    order.zone,
-                    order.spot,
+                    request.count,
+                    request.type,
+                    request.zone,
+                    request.spot,
                 )
             if not self._state.leader:
                 return
@@ -214,19 +216,21 @@
                 if name in self._state.deleted_machines:
                     continue
                 machine = self._state.machine_named(name, now)
-                machine.launched_at = min(machine.launched_at, at)
+                machine.launched_at = min(machine.launched_at, began)
                 machine.zone = pool.zone
                 machine.spot = pool.spot
-                self._state.learn_type(machine, order.type)
+                self._state.learn_type(machine, request.type)
 
-    def on_launch_failed(self, order: LaunchRequest) -> None:
-        """Handles a request that was not sent. This is no refusal by the cloud: the pool stays available."""
+    def on_launch_failed(self, request: LaunchRequest) -> None:
+        """Handles a launch request that was not sent. The pool is not marked as refused by the cloud."""
         with self._state.lock:
-            self._add_launching(self._pool(order), -order.count)
+            self._add_launching(self._pool(request), -request.count)
 
-    def _pool(self, order: LaunchRequest) -> MachinePool:
+    def _pool(self, request: LaunchRequest) -> MachinePool:
         state = self._state
-        return MachinePool(state.type_names.index(order.type), state.zones.index(order.zone), order.spot)
+        return MachinePool(
+            state.type_names.index(request.type), state.zones.index(request.zone), request.spot
+        )
 
     def _add_launching(self, pool: MachinePool, count: int) -> None:
         """Adds `count`, which may be negative, to the number of machines being launched in the pool."""
--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -41,8 +41,10 @@
         """Returns whether this controller is verified to be the leader and may act on its present state."""
 
     def no_competing_leader(self) -> bool:
-        """Returns whether no controller can be verified to be the leader, and this one was the last leader
-        according to the leadership record."""
+        """Returns whether no controller can verify that it is the leader, and this one was the last leader.
+
+        The last leader is taken from the leadership record.
+        """
 
 
 class CloudOperations:
@@ -116,7 +118,7 @@
         return max(LIST_PERIOD_S, pages / (self._rps * LIST_SHARE) - (self._clock() - began))
 
     def catalog_step(self) -> float:
-        """Reads the catalog, regularly since prices change."""
+        """Reads the catalog. This is repeated, since prices change."""
         self.pace()
         types = self._cloud.catalog()
         first = not self._scheduler.types
--- a/bayford/coordination/leader/zone_monitor.py
+++ b/bayford/coordination/leader/zone_monitor.py
@@ -65,7 +65,7 @@
         self.statuses: dict[int, ZoneStatus] = {}
         self.losses: dict[int, list[TaskOutcomes]] = {}  # by zone, newest last
         self._unwritten: set[int] = set()  # zones whose records have changed since the last write
-        self._written_at = 0.0
+        self._last_write_at = 0.0
         self._heartbeat_counts: dict[int, _HeartbeatCount] = {}  # by machine
 
     def on_leadership_acquired(self) -> None:
@@ -187,7 +187,7 @@
                 if state.zone_of(machine) != zone
             }
         self._unwritten.add(zone)
-        self._written_at = 0.0  # the next `puts` writes at once
+        self._last_write_at = 0.0  # the next `puts` writes at once
 
     def _find_open_tasks(self, zone: int) -> set[TaskKey]:
         """Returns the tasks with an open placement on a machine of the zone."""
@@ -215,17 +215,18 @@
     def _update_scheduling_state(self) -> None:
         """Stores in the state the zones and machines that the scheduling rounds depend on."""
         state = self._state
-        state.closed_zones = frozenset(zone for zone, status in self.statuses.items() if status.state.closed)
+        state.closed_zones = frozenset(
+            zone for zone, status in self.statuses.items() if status.state.is_closed
+        )
         state.returning_zones = frozenset(
             zone for zone, status in self.statuses.items() if status.state is ZoneState.RETURNING
         )
         state.verified_machines = self._find_verified_machines() if state.returning_zones else frozenset()
 
     def _find_verified_machines(self) -> frozenset[int]:
-        """Returns the machines of returning zones that have sent two heartbeats since the zone became
-        returning.
+        """Returns the machines of returning zones that sent two heartbeats since the zone's last transition.
 
-        A single heartbeat may have been delayed by the network partition while its machine no longer exists.
+        A single heartbeat may have been delayed by the network partition, and its machine may not exist now.
         """
         verified = set()
         for index, machine in self._state.machines.items():
@@ -296,9 +297,9 @@
         """Returns the records to write now. The caller writes them on condition of the leader's term."""
         state = self._state
         now = state.clock()
-        if not self._unwritten or now - self._written_at < WRITE_PERIOD_S:
+        if not self._unwritten or now - self._last_write_at < WRITE_PERIOD_S:
             return []
-        self._written_at = now
+        self._last_write_at = now
         puts = [
             Put(zone_record.key(state.zones[zone]), self._encode_record(zone))
             for zone in sorted(self._unwritten)
--- a/bayford/recovery/zone_health.py
+++ b/bayford/recovery/zone_health.py
@@ -26,7 +26,7 @@
     RETURNING = "returning"  # machines answer again; work returns in the order set by `return_order`
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether no tasks are placed and no machines launched in the zone."""
         return self in (ZoneState.SUSPECT, ZoneState.LOST)
 
@@ -63,7 +63,7 @@
 
     @property
     def lost_after_s(self) -> float:
-        """Seconds from suspicion until the leases of all machines of the zone have expired."""
+        """Seconds from suspicion until all leases based on heartbeats received before it have expired."""
         return self.lease_s + self.heartbeat_interval_s
 
     def settle_s(self, flaps: int) -> float:
@@ -107,7 +107,7 @@
     if not others:
         return "no other zone has machines to compare with"
     if not any(times.is_reachable(facts) for facts in others):
-        return "no other zone is heard either: the fault may be here"
+        return "no other zone is reachable either: the fault may be on this controller's side"
     return ""
 
 
--- a/tests/test_zone_health.py
+++ b/tests/test_zone_health.py
@@ -114,7 +114,9 @@
         == ""
     )
     zones[NORTH] = NONE_HEARD
-    assert "fault may be here" in find_unknown_reason(VERIFIED_LEADER, zones, WEST, TIMES)
+    assert "the fault may be on this controller's side" in find_unknown_reason(
+        VERIFIED_LEADER, zones, WEST, TIMES
+    )
 
 
 def test_a_zone_without_machines_is_retried_after_a_while() -> None:
