--- a/bayford/admission/__init__.py
+++ b/bayford/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions of admission under overload: the level, the choice, how load becomes a level."""
+"""Admission control under overload, without I/O: computes levels from the load and applies them to jobs."""
--- a/bayford/admission/allotment.py
+++ b/bayford/admission/allotment.py
@@ -1,7 +1,8 @@
-"""How a capacity of acceptances is divided among flows that ask for more.
+"""Divides the capacity for acceptances among flows whose total demand exceeds it.
 
-Floors of classes first, then teams within their guarantee, then by priority; in one priority the team with
-the least above its guarantee is served first, which is max-min fairness on that excess.
+The order is: the floors of the job classes, teams within their guarantee, then priorities from high to low.
+Within a priority the team with the lowest excess over its guarantee is served first, which is max-min
+fairness on that excess.
 """
 
 from collections.abc import Iterable, Mapping
@@ -9,48 +10,50 @@
 
 from bayford.admission.level import Flow
 
-BISECTION_ROUNDS = 60  # enough for any float
-EPSILON = 1e-9  # jobs a second: less is nothing
+BISECTION_ROUNDS = 60  # enough for any range of floats
+EPSILON = 1e-9  # jobs per second; smaller amounts are ignored
 
 
 @dataclass(frozen=True, slots=True)
 class Floors:
-    """The least share of the capacity that a class is given, as far as it asks for it."""
+    """The minimum share of the capacity that each job class is allotted, up to its demand."""
 
     default: float
     by_class: Mapping[str, float] = field(default_factory=dict)
 
     def of(self, job_class: str) -> float:
-        """The floor of one class."""
+        """Returns the floor of a job class."""
         return self.by_class.get(job_class, self.default)
 
 
-def water_fill(amount: float, wants: Mapping[str, float], levels: Mapping[str, float]) -> dict[str, float]:
-    """Divide `amount` so that the lowest rise first, up to one common level.
+def water_fill(
+    amount: float, unmet_demands: Mapping[str, float], levels: Mapping[str, float]
+) -> dict[str, float]:
+    """Returns a division of `amount` that raises the lowest levels first, up to a common level.
 
-    `wants`: the most that each is given. `levels`: what each has already, by the same names.
+    `unmet_demands`: the maximum to give to each name. `levels`: the amount that each name already has.
     """
-    if sum(wants.values()) <= amount:
-        return dict(wants)
+    if sum(unmet_demands.values()) <= amount:
+        return dict(unmet_demands)
     low = min(levels.values(), default=0.0)
-    high = max((levels[name] + want for name, want in wants.items()), default=0.0)
+    high = max((levels[name] + unmet for name, unmet in unmet_demands.items()), default=0.0)
     for _ in range(BISECTION_ROUNDS):
         middle = (low + high) / 2
-        if sum(min(want, max(0.0, middle - levels[name])) for name, want in wants.items()) > amount:
+        if sum(min(unmet, max(0.0, middle - levels[name])) for name, unmet in unmet_demands.items()) > amount:
             high = middle
         else:
             low = middle
-    return {name: min(want, max(0.0, low - levels[name])) for name, want in wants.items()}
+    return {name: min(unmet, max(0.0, low - levels[name])) for name, unmet in unmet_demands.items()}
 
 
 class Allotment:
-    """One division of a capacity, in jobs a second. Made for one call of `divide`."""
+    """One division of a capacity, in jobs per second. Each instance serves a single call of `divide`."""
 
     def __init__(
         self, capacity: float, demand: Mapping[Flow, float], guarantees: Mapping[str, float], floors: Floors
     ) -> None:
-        """`demand`: what each flow asks for. `guarantees`: jobs a second that are each team's own."""
-        self._left = capacity
+        """`demand`: new jobs per second by flow. `guarantees`: jobs per second guaranteed, by team."""
+        self._remaining = capacity
         self._capacity = capacity
         self._demand = demand
         self._guarantees = guarantees
@@ -58,47 +61,47 @@
         self.rates: dict[Flow, float] = dict.fromkeys(demand, 0.0)
 
     def divide(self, exempt: Iterable[str]) -> dict[Flow, float]:
-        """Jobs a second of each flow. `exempt`: teams within their guarantee, given all they ask for."""
-        self._give_floors()
+        """Returns the jobs per second of each flow. `exempt`: teams whose whole demand is allotted."""
+        self._allot_floors()
         for team in exempt:
-            self._give(team, [flow for flow in self._demand if flow.team == team], self._capacity)
+            self._allot_to_team(team, [flow for flow in self._demand if flow.team == team], self._capacity)
         for priority in sorted({flow.priority for flow in self._demand}, reverse=True):
-            self._give_priority(priority)
+            self._allot_priority(priority)
         return self.rates
 
-    def _wants(self, flow: Flow) -> float:
+    def _unmet_demand(self, flow: Flow) -> float:
         return max(0.0, self._demand[flow] - self.rates[flow])
 
-    def _give(self, team: str, flows: list[Flow], amount: float) -> None:
-        """Give the team at most `amount` more, divided among its `flows` as they still want it."""
-        wanted = sum(self._wants(flow) for flow in flows if flow.team == team)
-        given = min(amount, wanted)
-        if given <= EPSILON:
+    def _allot_to_team(self, team: str, flows: list[Flow], amount: float) -> None:
+        """Allot at most `amount` more to the team, in proportion to the unmet demand of its `flows`."""
+        team_demand = sum(self._unmet_demand(flow) for flow in flows if flow.team == team)
+        allotted = min(amount, team_demand)
+        if allotted <= EPSILON:
             return
         for flow in flows:
             if flow.team == team:
-                self.rates[flow] += self._wants(flow) * given / wanted
-        self._left = max(0.0, self._left - given)
+                self.rates[flow] += self._unmet_demand(flow) * allotted / team_demand
+        self._remaining = max(0.0, self._remaining - allotted)
 
     def _divide_among_teams(self, amount: float, flows: list[Flow], levels: Mapping[str, float]) -> None:
-        wants: dict[str, float] = {}
+        unmet_demands: dict[str, float] = {}
         for flow in flows:
-            wants[flow.team] = wants.get(flow.team, 0.0) + self._wants(flow)
-        shares = water_fill(amount, wants, {team: levels.get(team, 0.0) for team in wants})
+            unmet_demands[flow.team] = unmet_demands.get(flow.team, 0.0) + self._unmet_demand(flow)
+        shares = water_fill(amount, unmet_demands, {team: levels.get(team, 0.0) for team in unmet_demands})
         for team, share in shares.items():
-            self._give(team, flows, share)
+            self._allot_to_team(team, flows, share)
 
-    def _give_floors(self) -> None:
+    def _allot_floors(self) -> None:
         for priority, job_class in sorted({(flow.priority, flow.job_class) for flow in self._demand}):
             flows = [
                 flow for flow in self._demand if (flow.priority, flow.job_class) == (priority, job_class)
             ]
             self._divide_among_teams(self._floors.of(job_class) * self._capacity, flows, {})
 
-    def _give_priority(self, priority: int) -> None:
+    def _allot_priority(self, priority: int) -> None:
         flows = [flow for flow in self._demand if flow.priority == priority]
-        given: dict[str, float] = {}
+        allotted_by_team: dict[str, float] = {}
         for flow, rate in self.rates.items():
-            given[flow.team] = given.get(flow.team, 0.0) + rate
-        excess = {team: rate - self._guarantees.get(team, 0.0) for team, rate in given.items()}
-        self._divide_among_teams(self._left, flows, excess)
+            allotted_by_team[flow.team] = allotted_by_team.get(flow.team, 0.0) + rate
+        excess = {team: rate - self._guarantees.get(team, 0.0) for team, rate in allotted_by_team.items()}
+        self._divide_among_teams(self._remaining, flows, excess)
--- a/bayford/admission/control.py
+++ b/bayford/admission/control.py
@@ -1,6 +1,6 @@
-"""How load becomes a level: when refusing begins and ends, and how wide each window is.
+"""Computes admission levels from the load: when refusing jobs begins and ends, and the width of each window.
 
-No clock and no I/O: times are passed in, and the key of a new level as well.
+Reads no clock and does no I/O: the caller passes in the times and the hash key of a new level.
 """
 
 from collections.abc import Mapping
@@ -12,42 +12,42 @@
 from bayford.admission.level import Flow, Level, Window, window_width
 
 MIN_CORRECTION, MAX_CORRECTION = 0.05, 4.0
-MIN_CORRECTION_STEP, MAX_CORRECTION_STEP = 0.8, 1.25  # factor from one level to the next
-PACE_MARGIN = 1.5  # the pace is a bound on bursts; it is the windows that keep to the capacity
-ADMITTED_WHOLE = 0.999  # a flow that is given this share of its demand needs no window
-SUBMISSIONS, BACKLOG = "submissions", "backlog"  # the reasons of a level, as they are stored
+MIN_CORRECTION_STEP, MAX_CORRECTION_STEP = 0.8, 1.25  # bounds of the change between levels
+ACCEPT_RPS_MARGIN = 1.5  # `accept_rps` over capacity: it only bounds bursts, the windows enforce the capacity
+FULLY_ADMITTED_SHARE = 0.999  # a flow that gets at least this share of its demand needs no window
+SUBMISSIONS, BACKLOG = "submissions", "backlog"  # stored values of `Level.reason`
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionTimes:
-    """Settings of the control."""
-
-    interval_s: float  # from one level to the next
-    window_s: float  # over which rates are measured
-    turn_s: float  # in which a window moves on by its own width
-    enter: float  # refusing begins above this ratio of the demand to what can be kept up
-    leave: float  # and ends below this one, for either reason
-    clear_s: float  # after so long below it
-    backlog_s: float  # refusing for backlog begins above so many seconds of the whole fleet's work
+    """Settings of the admission control."""
+
+    interval_s: float  # between two levels
+    window_s: float  # period over which rates are measured
+    turn_s: float  # time in which a window advances by its own width
+    enter: float  # refusing begins when the demand exceeds `kept_up` times this ratio
+    leave: float  # refusing ends below this ratio of `kept_up` and of `backlog_s`, both at once
+    clear_s: float  # refusing ends after the load has been below these limits for this time
+    backlog_s: float  # refusing begins when the waiting work would take the whole fleet longer than this
     floors: Floors
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What the leader knows of the load at one moment; all rates are of jobs a second."""
-
-    demand: Mapping[Flow, float]  # new jobs
-    accepted: Mapping[Flow, float]  # acceptances
-    capacity: float  # acceptances, as the task log allows at the moment
-    kept_up: float  # acceptances that can be sustained: more is overload
-    guarantees: Mapping[str, float]  # acceptances that are each team's own
-    over_guarantee: frozenset[str] = frozenset()  # teams whose open work exceeds their guaranteed CPUs
-    # Seconds of the whole fleet that the work of each priority and of those above takes; empty while the
-    # fleet can still grow.
+    """The load as measured by the leader at one moment; all rates are in jobs per second."""
+
+    demand: Mapping[Flow, float]  # rate of new jobs
+    accepted: Mapping[Flow, float]  # rate of accepted jobs
+    capacity: float  # acceptances that the task log allows at present
+    kept_up: float  # acceptances that can be sustained; a higher rate is overload
+    guarantees: Mapping[str, float]  # acceptances guaranteed to each team
+    over_guarantee: frozenset[str] = frozenset()  # teams whose open jobs exceed their guaranteed CPUs
+    # By priority, the seconds that the whole fleet needs for the work of this and all higher priorities;
+    # empty while the fleet can still grow.
     backlog_s: Mapping[int, float] = field(default_factory=dict)
 
     def exempt(self) -> list[str]:
-        """Teams within their guarantee: none of their jobs is refused. Worked out at each call."""
+        """Returns the teams within their guarantee, whose jobs are never refused. Recomputed at each call."""
         demand_by_team: dict[str, float] = {}
         for flow, rate in self.demand.items():
             demand_by_team[flow.team] = demand_by_team.get(flow.team, 0.0) + rate
@@ -59,110 +59,119 @@
 
 
 class LevelControl:
-    """The levels of one leader's term. Not locked: that is for the caller."""
+    """Computes the admission levels of one leader's term. Not thread-safe: the caller must lock."""
 
     def __init__(self, times: AdmissionTimes) -> None:
         self._times = times
         self.begin(0.0)
 
     def begin(self, now: float) -> None:
-        """Begin a term: nothing has been measured in it."""
-        self._began_at = now
+        """Reset all state for a new term, in which nothing has been measured yet."""
+        self._term_began_at = now
         self._published_at = now - self._times.interval_s
-        self._published = True
-        self._calm_since: float | None = None
+        self._is_published = True
+        self._below_limits_since: float | None = None
         self._correction = 1.0
-        self._allotted: dict[Flow, float] = {}
+        self._allotted_rates: dict[Flow, float] = {}
 
     def not_published(self) -> None:
-        """The write of the last level failed, or its outcome is unknown: the next is due at once."""
-        self._published = False
+        """Record that the write of the last level failed or has an unknown outcome.
+
+        The next level is then due at once.
+        """
+        self._is_published = False
 
     def is_due(self, now: float) -> bool:
-        """Whether it is time for another level, should one be needed."""
-        return not self._published or now - self._published_at >= self._times.interval_s
+        """Returns whether the time for the next level has come, if one is needed."""
+        return not self._is_published or now - self._published_at >= self._times.interval_s
 
     def next_level(
-        self, before: Level | None, load: Load, now: float, wall: float, new_key: str
+        self, previous: Level | None, load: Load, now: float, wall: float, new_key: str
     ) -> Level | None:
-        """The level to publish now, None to leave the present one. To be called when `is_due` says so.
+        """Returns the level to publish now, or None to keep the stored one. Called when `is_due` is true.
 
-        `before`: the level that is stored. `now` is of the caller's steady clock, `wall` the time of day.
-        `new_key`: the hash key of the level with which refusing begins, should this be it.
+        `previous` is the stored level, `now` is monotonic time and `wall` the time of day.
+        `new_key` is the hash key to use if refusing begins with this level.
         """
-        refusing = before is not None and not before.is_open
-        self._published = True
-        reason = self._overload(load, refusing)
-        if before is None or not refusing:
-            return self._first(before, load, reason, now, wall, new_key) if reason else None
-        if now - self._began_at < self._times.window_s:
-            return self._moved(before, now)  # too little has been measured to change any width
+        refusing = previous is not None and not previous.is_open
+        self._is_published = True
+        reason = self._overload_reason(load, refusing)
+        if previous is None or not refusing:
+            return self._begin_refusing(previous, load, reason, now, wall, new_key) if reason else None
+        if now - self._term_began_at < self._times.window_s:
+            return self._advance_windows(previous, now)  # rates cover less than `window_s`
         if reason:
-            self._calm_since = None
-        elif self._calm_for_long(now):
+            self._below_limits_since = None
+        elif self._below_limits_long_enough(now):
             self._published_at = now
-            return Level(before.number + 1, wall, before.key)
-        return self._refusing(before, load, reason or before.reason, now)
+            return Level(previous.number + 1, wall, previous.key)
+        return self._build_level(previous, load, reason or previous.reason, now)
 
-    def _first(
-        self, before: Level | None, load: Load, reason: str, now: float, wall: float, new_key: str
+    def _begin_refusing(
+        self, previous: Level | None, load: Load, reason: str, now: float, wall: float, new_key: str
     ) -> Level:
-        """The first level of a time of refusing, with a hash key of its own."""
-        self._calm_since = None
+        """Returns the first level of a period in which jobs are refused, with a new hash key."""
+        self._below_limits_since = None
         self._correction = 1.0
-        self._allotted = {}
-        number = 0 if before is None else before.number
-        return self._refusing(Level(number, wall, new_key), load, reason, now)
+        self._allotted_rates = {}
+        number = 0 if previous is None else previous.number
+        return self._build_level(Level(number, wall, new_key), load, reason, now)
+
+    def _overload_reason(self, load: Load, refusing: bool) -> str:
+        """Returns the reason to refuse jobs, or an empty string if there is none.
 
-    def _overload(self, load: Load, refusing: bool) -> str:
-        """Why jobs have to be refused, empty if they need not be. Less load is enough to go on."""
+        The limits are lower while jobs are already refused (hysteresis).
+        """
         ratio = self._times.leave if refusing else self._times.enter
         if sum(load.demand.values()) > ratio * load.kept_up:
             return SUBMISSIONS
         limit_s = self._times.backlog_s * (self._times.leave if refusing else 1.0)
         return BACKLOG if any(seconds > limit_s for seconds in load.backlog_s.values()) else ""
 
-    def _calm_for_long(self, now: float) -> bool:
-        if self._calm_since is None:
-            self._calm_since = now
-        return now - self._calm_since >= self._times.clear_s
+    def _below_limits_long_enough(self, now: float) -> bool:
+        if self._below_limits_since is None:
+            self._below_limits_since = now
+        return now - self._below_limits_since >= self._times.clear_s
 
-    def _moved(self, before: Level, now: float) -> Level:
-        """The next level, with windows of the same widths."""
+    def _advance_windows(self, previous: Level, now: float) -> Level:
+        """Returns the next level, with every window advanced and its width unchanged."""
         self._published_at = now
         windows = tuple(
-            msgspec.structs.replace(window, start=before.next_start(window)) for window in before.windows
+            msgspec.structs.replace(window, start=previous.next_start(window)) for window in previous.windows
         )
-        return msgspec.structs.replace(before, number=before.number + 1, windows=windows)
+        return msgspec.structs.replace(previous, number=previous.number + 1, windows=windows)
 
-    def _refusing(self, before: Level, load: Load, reason: str, now: float) -> Level:
-        """The next level, with widths that follow the load."""
+    def _build_level(self, previous: Level, load: Load, reason: str, now: float) -> Level:
+        """Returns the next level, with window widths computed from the load."""
         self._published_at = now
-        self._correct(load)
+        self._update_correction(load)
         exempt = load.exempt()
         rates = Allotment(load.capacity, load.demand, load.guarantees, self._times.floors).divide(exempt)
         self._limit_backlog(rates, load, frozenset(exempt))
         windows = tuple(
             window
             for flow, rate in sorted(rates.items())
-            if (window := self._window(before, flow, rate, load)) is not None
+            if (window := self._next_window(previous, flow, rate, load)) is not None
         )
-        self._allotted = {window.flow: rates[window.flow] for window in windows}
+        self._allotted_rates = {window.flow: rates[window.flow] for window in windows}
         return Level(
-            number=before.number + 1,
-            since=before.since,
-            key=before.key,
+            number=previous.number + 1,
+            since=previous.since,
+            key=previous.key,
             reason=reason,
-            accept_rps=round(PACE_MARGIN * load.capacity, 3) if reason == SUBMISSIONS else 0.0,
+            accept_rps=round(ACCEPT_RPS_MARGIN * load.capacity, 3) if reason == SUBMISSIONS else 0.0,
             interval_s=self._times.interval_s,
             turn_s=self._times.turn_s,
             windows=windows,
         )
 
-    def _correct(self, load: Load) -> None:
-        """Adapt the widths by what was really accepted: repeats, whose number is unknown, add to new jobs."""
-        allotted = sum(self._allotted.values())
-        accepted = sum(load.accepted.get(flow, 0.0) for flow in self._allotted)
+    def _update_correction(self, load: Load) -> None:
+        """Update the factor on all window widths by the ratio of allotted to measured acceptances.
+
+        A correction is needed because windows also admit repeated submissions, whose number is unknown.
+        """
+        allotted = sum(self._allotted_rates.values())
+        accepted = sum(load.accepted.get(flow, 0.0) for flow in self._allotted_rates)
         if allotted <= 0:
             return
         step = MAX_CORRECTION_STEP if accepted <= 0 else allotted / accepted
@@ -170,21 +179,21 @@
         self._correction = min(MAX_CORRECTION, max(MIN_CORRECTION, self._correction * step))
 
     def _limit_backlog(self, rates: dict[Flow, float], load: Load, exempt: frozenset[str]) -> None:
-        """Lower the rates of flows whose priority has too much waiting work."""
+        """Lower the rates of flows whose priority has a backlog above `backlog_s`."""
         for flow, rate in rates.items():
             backlog_s = load.backlog_s.get(flow.priority, 0.0)
             if backlog_s > self._times.backlog_s and flow.team not in exempt:
                 share = max(self._times.floors.of(flow.job_class), self._times.backlog_s / backlog_s)
                 rates[flow] = min(rate, load.demand[flow] * share)
 
-    def _window(self, before: Level, flow: Flow, rate: float, load: Load) -> Window | None:
-        """The flow's next window, None if the flow is given all that it asks for."""
+    def _next_window(self, previous: Level, flow: Flow, rate: float, load: Load) -> Window | None:
+        """Returns the flow's next window, or None if its whole demand is admitted."""
         demand = load.demand[flow]
-        if rate >= ADMITTED_WHOLE * demand:
+        if rate >= FULLY_ADMITTED_SHARE * demand:
             return None
         floor = self._times.floors.of(flow.job_class)
         width = window_width(rate / demand * self._correction, self._times.turn_s)
         width = max(window_width(floor, self._times.turn_s), width)
-        window = before.window(flow)
-        start = 0 if window is None else before.next_start(window)
+        window = previous.window(flow)
+        start = 0 if window is None else previous.next_start(window)
         return Window(flow.priority, flow.job_class, flow.team, start, width)
--- a/bayford/admission/facts.py
+++ b/bayford/admission/facts.py
@@ -1,6 +1,6 @@
-"""What the controller reports to admission of its own state.
+"""Facts about the controller's state that are the input of admission control.
 
-Apart from the rest of the package, so that a controller with admission off imports none of its libraries.
+They are in their own module so that a controller with admission off imports none of the package's libraries.
 """
 
 from collections.abc import Mapping
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkloadFacts:
-    """What the leader's state says of the accepted work."""
+    """Facts about the accepted jobs, from the leader's state."""
 
-    over_guarantee: frozenset[str]  # teams whose open work exceeds their guaranteed CPUs
-    backlog_s: Mapping[int, float]  # by priority, with those above; empty while the fleet can grow
+    over_guarantee: frozenset[str]  # teams whose open jobs exceed their guaranteed CPUs
+    backlog_s: Mapping[int, float]  # by priority, including higher priorities; empty while the fleet can grow
 
 
 @dataclass(frozen=True, slots=True)
 class TaskLogFacts:
-    """How the task log fares beside the acceptances."""
+    """The state of the task log, whose writes compete with acceptances."""
 
-    refused: int  # transactions refused since the start
-    lag_s: float  # seconds that it is behind with jobs that are done
+    refused: int  # transactions refused by the key-value store since this process started
+    lag_s: float  # how far it is behind with completed jobs, in seconds
--- a/bayford/admission/features.py
+++ b/bayford/admission/features.py
@@ -1,7 +1,8 @@
-"""Which controllers keep to the admission level: a level is in force only if all that live do.
+"""Finds the controllers that apply the admission level. A level is in force only if all live controllers do.
 
-Each states so under a key of its own, written with its member key in one transaction under one lease, so
-that a reader of one sees the other. Releases without levels write no such key.
+Each controller announces its features under its own key. It writes that key together with its member key, in
+one transaction and under one lease, so a reader that sees one sees the other. Releases without admission
+levels write no such key.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,27 +15,29 @@
 
 
 def value(incarnation: str, names: Iterable[str]) -> Any:
-    """The value that a controller stores. `incarnation`: this process of it; `names`: what it keeps to."""
+    """Returns the value that a controller stores: its process (`incarnation`) and its features (`names`)."""
     return {"member": incarnation, "features": sorted(names)}
 
 
 def lacking(members: Iterable[Row], features: Iterable[Row]) -> list[str]:
-    """The live controllers that don't state that they keep to the level, sorted by name.
+    """Returns the live controllers that don't announce the admission feature, sorted by name.
 
-    Both kinds of rows have to be of one revision.
+    `members` and `features` must be of the same revision.
     """
-    stated: Mapping[str, Any] = {row.key[len(records.FEATURES) :]: row.value for row in features}
+    announced: Mapping[str, Any] = {row.key[len(records.FEATURES) :]: row.value for row in features}
     incarnations = {row.key[len(records.MEMBERS) :]: row.value for row in members}
     return sorted(
-        name for name, incarnation in incarnations.items() if not _keeps(stated.get(name), incarnation)
+        name
+        for name, incarnation in incarnations.items()
+        if not _supports_admission(announced.get(name), incarnation)
     )
 
 
-def _keeps(stated: Any, incarnation: str) -> bool:
-    """Whether this process of the controller, and not an earlier one, stated that it keeps to levels."""
+def _supports_admission(announced: Any, incarnation: str) -> bool:
+    """Returns whether this process of the controller, and not an earlier one, announced admission levels."""
     return (
-        isinstance(stated, dict)
-        and stated.get("member") == incarnation
-        and isinstance(stated.get("features"), list)
-        and ADMISSION in stated["features"]
+        isinstance(announced, dict)
+        and announced.get("member") == incarnation
+        and isinstance(announced.get("features"), list)
+        and ADMISSION in announced["features"]
     )
--- a/bayford/admission/level.py
+++ b/bayford/admission/level.py
@@ -1,7 +1,7 @@
-"""The admission level: which part of each flow is admitted, as the leader publishes it.
+"""The admission level: the part of each flow of submissions that is admitted, as published by the leader.
 
-One value under `b/admission`. Every controller reads it and decides by it alone (`admission.choice`); only
-the leader writes it (`admission.control`).
+The level is a single value under `b/admission`. Only the leader writes it (`admission.control`). Every
+controller reads it and decides on submissions from it alone (`admission.choice`).
 """
 
 from dataclasses import dataclass
@@ -12,19 +12,19 @@
 from bayford.storage import records
 
 VERSION = 1
-POSITIONS = 1 << 16  # values that a job's keyed hash may have
+POSITIONS = 1 << 16  # number of values of a job's keyed hash
 KEY_BYTES = 32
-REPEAT_S = 60.0  # how long users repeat a submission, by the protocol
-OTHER_CLASS = ""  # all classes of jobs that the deployment does not name
+REPEAT_S = 60.0  # how long the protocol lets users repeat a submission
+OTHER_CLASS = ""  # stands for all job classes that the deployment does not name
 
 
 class UnreadableLevelError(Exception):
-    """A stored value that is not a level of this form. Callers admit everything then."""
+    """A stored value is not a level of this version. Callers then admit everything."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Flow:
-    """Submissions that are admitted alike: one priority, class and team."""
+    """Identifies submissions that share one window: those of one priority, job class and team."""
 
     priority: int
     job_class: str
@@ -32,7 +32,7 @@
 
 
 class Window(msgspec.Struct, frozen=True, array_like=True):
-    """The positions of a flow that are admitted: `width` of them from `start` on, around the end."""
+    """The hash positions of a flow that are admitted: `width` positions from `start`, modulo `POSITIONS`."""
 
     priority: int
     job_class: str
@@ -42,66 +42,69 @@
 
     @property
     def flow(self) -> Flow:
-        """Whose window it is."""
+        """The flow to which the window applies."""
         return Flow(self.priority, self.job_class, self.team)
 
     def admits(self, position: int) -> bool:
-        """Whether a job at this position is admitted."""
+        """Returns whether a job at this position is admitted."""
         return (position - self.start) % POSITIONS < self.width
 
 
 class Level(msgspec.Struct, frozen=True):
-    """One level. Without windows, and with `accept_rps` 0, everything is admitted and nothing is paced."""
+    """One admission level. With no windows and `accept_rps` 0, all jobs are admitted at any rate."""
 
     number: int
-    since: float  # time of day since which jobs are refused, or since which none are
-    key: str  # of the hash that gives jobs their positions, in hexadecimal digits
+    since: float  # time of day at which refusing jobs began or ended
+    key: str  # hexadecimal key of the hash that maps job ids to positions
     reason: str = ""
-    accept_rps: float = 0.0  # acceptances a second, at all controllers together; 0: not paced
-    interval_s: float = 2.0  # from one level to the next, while jobs are refused
-    turn_s: float = 60.0  # in which a window moves on by its own width
+    accept_rps: float = 0.0  # limit on acceptances per second, all controllers together; 0: no limit
+    interval_s: float = 2.0  # between two levels, while jobs are refused
+    turn_s: float = 60.0  # time in which a window advances by its own width
     windows: tuple[Window, ...] = ()
-    form: int = msgspec.field(name="v", default=VERSION)  # of the stored value
+    form: int = msgspec.field(name="v", default=VERSION)  # version of the stored value
 
     @property
     def is_open(self) -> bool:
-        """Whether everything is admitted, unpaced."""
+        """Whether all jobs are admitted, without a limit on the acceptance rate."""
         return not self.windows and not self.accept_rps
 
     def window(self, flow: Flow) -> Window | None:
-        """The flow's window, None if the flow is admitted whole."""
+        """Returns the flow's window, or None if all its jobs are admitted."""
         return next((window for window in self.windows if window.flow == flow), None)
 
     def step(self, window: Window) -> int:
-        """How many positions the window moves on from this level to the next."""
+        """Returns by how many positions the window advances from this level to the next."""
         return window_step(window.width, self.interval_s, self.turn_s)
 
     def next_start(self, window: Window) -> int:
-        """The position at which the window starts in the next level."""
+        """Returns the position at which the window starts in the next level."""
         return (window.start + self.step(window)) % POSITIONS
 
 
 def window_step(width: int, interval_s: float, turn_s: float) -> int:
-    """How many positions a window of this width moves on from one level to the next, 1 or more.
+    """Returns by how many positions, at least 1, a window of this width advances from one level to the next.
 
-    It moves by its own width in `turn_s`, and never by more than its width, so that it skips no position.
+    A window advances by its own width in `turn_s`, and at most by its width per level so that no position is
+    skipped.
     """
     return max(1, int(width * min(1.0, interval_s / turn_s)))
 
 
 def window_width(share: float, turn_s: float) -> int:
-    """The width of a window that admits about this share of the new jobs, 1 to `POSITIONS`.
+    """Returns the width, 1 to `POSITIONS`, of a window that admits about this share of the new jobs.
 
-    A window meets new jobs, and jobs that were refused before and are submitted again once it has moved on
-    to them, for as long as users repeat a submission.
+    Beside new jobs, a window admits jobs that were refused earlier and are submitted again after the window
+    has advanced to their positions. Users repeat a submission for `REPEAT_S`.
     """
-    met_per_new_job = 1.0 + REPEAT_S / turn_s
-    return max(1, min(POSITIONS, int(share / met_per_new_job * POSITIONS)))
+    submissions_per_new_job = 1.0 + REPEAT_S / turn_s
+    return max(1, min(POSITIONS, int(share / submissions_per_new_job * POSITIONS)))
 
 
 def encode(level: Level, max_bytes: int) -> Any:
-    """The value to store, in at most `max_bytes`: the narrowest windows are kept, since flows without one
-    are admitted whole."""
+    """Returns the value to store, at most `max_bytes` long.
+
+    If not all windows fit, the widest are dropped, which admits all jobs of their flows.
+    """
     windows = sorted(level.windows, key=lambda window: window.width)
     while True:
         value = msgspec.to_builtins(msgspec.structs.replace(level, windows=tuple(windows)))
@@ -111,7 +114,7 @@
 
 
 def decode(value: Any) -> Level:
-    """A level from its value. UnreadableLevelError: it is not a level of this form."""
+    """Returns the stored level. Raises UnreadableLevelError if the version or a field is not valid."""
     try:
         level = msgspec.convert(value, Level)
         key = bytes.fromhex(level.key)
--- a/bayford/admission/level_report.py
+++ b/bayford/admission/level_report.py
@@ -1,4 +1,4 @@
-"""The admission level as operators read it: text from a template, or JSON."""
+"""Formats the admission level for operators, as text from a template or as JSON."""
 
 from typing import Any
 
@@ -36,7 +36,7 @@
 
 
 def as_text(level: Level | None, lacking: list[str]) -> str:
-    """For a terminal. `lacking`: the controllers that keep to no level."""
+    """Returns the text for a terminal. `lacking`: controllers that don't apply admission levels."""
     environment = jinja2.Environment(undefined=jinja2.StrictUndefined, autoescape=False)
     environment.filters |= {
         "at": format_wall_time,
@@ -47,7 +47,7 @@
 
 
 def as_json(level: Level | None, lacking: list[str]) -> str:
-    """For programs. Without the hash key: with it users could choose ids that are admitted."""
+    """Returns the JSON for programs, without the hash key, with which users could choose admitted ids."""
     fields: dict[str, Any] | None = None
     if level is not None:
         fields = msgspec.to_builtins(level)
--- a/bayford/admission/load.py
+++ b/bayford/admission/load.py
@@ -1,4 +1,4 @@
-"""What is known of the load: rates of events by flow, and the capacity for acceptances."""
+"""Measures the load for admission control: rates of events, and the capacity for accepting jobs."""
 
 from collections import deque
 from collections.abc import Hashable
@@ -6,17 +6,17 @@
 
 EventKey = TypeVar("EventKey", bound=Hashable)
 
-DECREASE = 0.85  # factor of the capacity when the task log is held up
-INCREASE = 0.05  # of `kept_up`, added otherwise
-MIN_CAPACITY, MAX_CAPACITY = 0.25, 1.8  # of `kept_up`
-MAX_HARMLESS_REFUSALS = 1  # so many refused transactions in an interval come of bursts that meet
-MAX_LAG_S = 60.0  # the task log is held up when it is so far behind with jobs that are done
-SPARE_SHARE = 0.08  # of the changes a second, for leases, levels and cancellations
-MIN_TASK_LOG_SHARE = 0.25  # of the changes a second
+DECREASE = 0.85  # factor on the capacity when the task log is delayed
+INCREASE = 0.05  # share of `kept_up` that is added otherwise
+MIN_CAPACITY, MAX_CAPACITY = 0.25, 1.8  # share of `kept_up`
+MAX_IGNORED_REFUSALS = 1  # per interval; coinciding bursts can cause one refused transaction
+MAX_LAG_S = 60.0  # a task log that is further behind with completed jobs counts as delayed
+SPARE_SHARE = 0.08  # share of the write rate that is left to leases, levels and cancellations
+MIN_TASK_LOG_SHARE = 0.25  # share of the write rate
 
 
 class Rates(Generic[EventKey]):
-    """Events a second by key, over the last `window_s` seconds. Not locked: that is for the caller."""
+    """Events per second by key, over the last `window_s` seconds. Not thread-safe: the caller must lock."""
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
@@ -24,19 +24,19 @@
         self._counts: dict[EventKey, int] = {}
 
     def note(self, key: EventKey, now: float, count: int = 1) -> None:
-        """Count `count` events of the key at `now`."""
+        """Add `count` events of the key at the time `now`."""
         if count <= 0:
             return
         self._events.append((now, key, count))
         self._counts[key] = self._counts.get(key, 0) + count
-        self._forget(now)
+        self._expire(now)
 
     def rates(self, now: float) -> dict[EventKey, float]:
-        """Events a second of each key that had any."""
-        self._forget(now)
+        """Returns the events per second of each key that had events in the window."""
+        self._expire(now)
         return {key: count / self._window_s for key, count in self._counts.items()}
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         while self._events and self._events[0][0] <= now - self._window_s:
             _, key, count = self._events.popleft()
             self._counts[key] -= count
@@ -45,35 +45,35 @@
 
 
 class AcceptanceCapacity:
-    """Acceptances a second that the state service takes beside the task log.
+    """The rate of acceptances, per second, that the key-value store can take in addition to the task log.
 
-    A job costs a change when it is accepted and one when it is done. In a flood the second may wait for a
-    while, so refusing begins with a capacity above what can be kept up, and comes down to it as the task log
-    falls behind: multiplicative decrease, additive increase. A transaction of the task log needs many changes
-    at once, and single acceptances that use the whole rate would keep it from ever being accepted; so each of
-    the two has a part of its own.
+    A job costs one write when it is accepted and one when it is done. In a flood of submissions the second
+    write can be delayed, so the capacity starts above the sustainable rate when refusing begins and falls to
+    that rate as the task log gets behind: multiplicative decrease, additive increase. A task log transaction
+    needs many writes at once and would never be accepted if single acceptances used the whole write rate, so
+    each of the two has its own part of the write rate.
     """
 
     def __init__(self, kept_up: float, write_rps: float) -> None:
-        """`kept_up`: acceptances a second that can be sustained. `write_rps`: changes a second in all."""
+        """`kept_up`: sustainable acceptances per second. `write_rps`: all writes per second."""
         self.kept_up = kept_up
         self.per_s = MAX_CAPACITY * kept_up
         self._write_rps = write_rps
 
     def task_log_rps(self) -> float:
-        """Changes a second that are left to the task log while jobs are refused."""
+        """Returns the writes per second that are left to the task log while jobs are refused."""
         return max(MIN_TASK_LOG_SHARE * self._write_rps, (1.0 - SPARE_SHARE) * self._write_rps - self.per_s)
 
     def update(self, refusing: bool, refused: int, lag_s: float) -> None:
-        """Adapt the capacity, once an interval.
+        """Adapt the capacity. Called once per interval.
 
-        `refusing`: whether jobs are refused now. `refused`: transactions of the task log that the state
-        service refused in the interval. `lag_s`: how far the task log is behind. While no jobs are refused
-        the capacity limits nothing, so refusals and lag say nothing of it.
+        `refusing`: whether jobs are refused now. `refused`: task log transactions that the key-value store
+        refused in the interval. `lag_s`: how far the task log is behind. While no jobs are refused the
+        capacity limits nothing, so `refused` and `lag_s` are no measure of it and are ignored.
         """
         if not refusing:
             self.per_s = MAX_CAPACITY * self.kept_up
-        elif refused > MAX_HARMLESS_REFUSALS or lag_s > MAX_LAG_S:
+        elif refused > MAX_IGNORED_REFUSALS or lag_s > MAX_LAG_S:
             self.per_s = max(MIN_CAPACITY * self.kept_up, self.per_s * DECREASE)
         else:
             self.per_s = min(MAX_CAPACITY * self.kept_up, self.per_s + INCREASE * self.kept_up)
--- a/bayford/spread/__init__.py
+++ b/bayford/spread/__init__.py
@@ -1,1 +1,1 @@
-"""Load spread: where tasks go, and migrations of running ones when the load is uneven. Pure decisions."""
+"""Spreads load over machines, without I/O: chooses machines for tasks and plans migrations."""
--- a/bayford/spread/machine_snapshot.py
+++ b/bayford/spread/machine_snapshot.py
@@ -1,4 +1,4 @@
-"""What is known of each machine when load is spread, and how old each piece of it is."""
+"""The state of a machine as load spreading sees it, with the age of its last heartbeat."""
 
 from dataclasses import dataclass
 
@@ -7,33 +7,33 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSnapshot:
-    """One machine as this controller sees it.
+    """The state of one machine as this controller knows it.
 
-    What is reserved is this controller's own decision and so of now. What runs there, and whether the machine
-    is responsive, is as old as its last heartbeat; images come from heartbeats, or from the summary of a
-    leader before, which no heartbeat has confirmed yet.
+    Reservations are up to date, since this controller makes them. The running tasks and the responsiveness
+    are as old as the last heartbeat. Images are known from heartbeats, or from the summary of an earlier
+    leader that no heartbeat has confirmed yet.
     """
 
     index: int
     cpus: float
-    reserved: float  # share of the CPUs that placements hold
-    running: float  # share of the CPUs that the last heartbeat showed in use
-    pending_cpus: float  # of tasks placed there that no heartbeat has shown yet
+    reserved: float  # share of the CPUs that is reserved by placements
+    running: float  # share of the CPUs in use according to the last heartbeat
+    pending_cpus: float  # CPUs of placed tasks that no heartbeat has reported yet
     free: tuple[float, float, float]  # CPUs, GPUs, GB of memory
     images: frozenset[int]
     fetching: frozenset[int]
-    heartbeat_age_s: float  # of the last heartbeat
-    draining: bool  # the cloud takes it, or it is being deleted
-    refusing: bool  # it has just refused a start, or is quarantined
-    responsive: bool  # it has acknowledged this leader's fencing token, to this leader itself
+    heartbeat_age_s: float  # seconds since the last heartbeat
+    draining: bool  # the cloud reclaims it, or it is being deleted
+    refusing: bool  # in back-off after it refused a start, or quarantined
+    responsive: bool  # it acknowledged this leader's fencing token directly, not through a relay
 
     def accepts(self, max_age_s: float) -> bool:
-        """Whether work may be moved there, by facts of which none is older than `max_age_s`."""
+        """Returns whether tasks may be moved there, given a heartbeat at most `max_age_s` seconds old."""
         usable = self.responsive and not self.draining and not self.refusing
         return usable and self.heartbeat_age_s <= max_age_s and self.cpus > 0
 
     def describe(self) -> str:
-        """For the log."""
+        """Returns the fields of a log line about the machine."""
         return (
             f"reserved={self.reserved:.2f} running={self.running:.2f} pending_cpus={self.pending_cpus:.0f} "
             f"images={len(self.images)} fetching={len(self.fetching)} "
@@ -42,7 +42,7 @@
 
 
 def snapshot_of(machine: Machine, now: float) -> MachineSnapshot:
-    """The snapshot of one machine."""
+    """Returns a snapshot of the machine at `now`."""
     running = sum(p.job.spec.cpus for p in machine.open.values() if p.running_since is not None)
     pending_cpus = sum(p.job.spec.cpus for p in machine.open.values() if not p.started)
     cpus = machine.cpus
--- a/bayford/spread/rebalance.py
+++ b/bayford/spread/rebalance.py
@@ -1,9 +1,9 @@
-"""Migrations of running tasks off machines that are loaded far above the average.
+"""Plans migrations of running tasks off machines whose load is far above the average.
 
-This is the paper's own use of its transfer stage (Algorithm 3, section V), which `scheduling.tempered` turns
-to freeing room: the sources are the machines above `threshold` times the average, the excess of each is what
-it has above that. The relaxed criterion, the weights recomputed after each move and the best of several
-trials before anything moves are the same code.
+This uses the transfer stage as the paper does (Algorithm 3, section V), while `scheduling.tempered` uses it
+to free room on a machine. The sources are the machines whose load exceeds `threshold` times the average, and
+the excess of a source is its load above that limit. Both uses share the code of the relaxed criterion, of the
+weights recomputed after each move, and of the choice of the best of several trials before any task is moved.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Relocation:
-    """One task from one machine to another."""
+    """The migration of one task from one machine to another."""
 
     key: tuple[str, int]
     source: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rebalancing:
-    """The best trial: its moves, and the imbalance before and after them."""
+    """The best trial: its moves, and the imbalance before and after these moves."""
 
     relocations: tuple[Relocation, ...]
     before: float
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Balance:
-    """How uneven the load is."""
+    """Measures of how uneven the load is."""
 
     imbalance: float  # equation 1
-    excess: float  # load above the threshold, all machines together
+    excess: float  # sum of all machines' load above the threshold
 
     @classmethod
     def of(cls, hosts: Sequence[Host], threshold: float) -> Self:
@@ -47,14 +47,14 @@
         excess = sum(max(0.0, host.load - limit) for host in hosts)
         return cls(tempered.imbalance(host.load for host in hosts), excess)
 
-    def better_than(self, other: Self) -> bool:
+    def is_better_than(self, other: Self) -> bool:
         if abs(self.imbalance - other.imbalance) > EPS:
             return self.imbalance < other.imbalance
         return self.excess < other.excess - EPS
 
 
 def sources(hosts: Sequence[Host], threshold: float) -> list[Host]:
-    """The machines above `threshold` times the average load, the most loaded first."""
+    """Returns the machines with a load above `threshold` times the average, the most loaded first."""
     average = sum(host.load for host in hosts) / len(hosts) if hosts else 0.0
     above = [host for host in hosts if host.load > threshold * average + EPS and host.items]
     return sorted(above, key=lambda host: (-host.load, host.index))
@@ -63,12 +63,12 @@
 def rebalance(
     hosts: Sequence[Host], threshold: float, counts: Counts, allowed: Allowed, rng: random.Random
 ) -> Rebalancing | None:
-    """The moves of the trial that leaves the least imbalance, or None where no trial is better than no move.
+    """Returns the moves of the trial with the lowest imbalance, or None if no trial improves the balance.
 
-    Of several machines that are loaded alike a budget of few moves relieves one, and the highest load stays
-    as it is: among trials with the same imbalance, that with less load above the threshold counts as better.
-    A task moves once in a plan at the most, off the machine on which it runs: what has come in a trial is no
-    candidate to go on from there.
+    If several machines are equally overloaded, a small budget of moves relieves only one of them and the
+    highest load, and so the imbalance, stays the same. Among trials with the same imbalance the one with less
+    load above the threshold is therefore better. A plan moves each task at most once, off the machine on
+    which it runs: a task that was moved in a trial is not moved again.
     """
     if counts.moves <= 0 or not sources(hosts, threshold):
         return None
@@ -77,22 +77,22 @@
     best: Rebalancing | None = None
     for _ in range(counts.trials):
         trial = tempered.copy_hosts(hosts)
-        relocations = _trial(trial, threshold, counts, allowed, rng)
+        relocations = _run_trial(trial, threshold, counts, allowed, rng)
         after = _Balance.of(trial, threshold)
-        if relocations and after.better_than(best_balance):
+        if relocations and after.is_better_than(best_balance):
             best_balance = after
             best = Rebalancing(tuple(relocations), before.imbalance, after.imbalance)
     return best
 
 
-def _below(limit: float) -> Callable[[Host], bool]:
+def _has_load_within(limit: float) -> Callable[[Host], bool]:
     return lambda host: host.load <= limit + EPS
 
 
-def _trial(
+def _run_trial(
     hosts: list[Host], threshold: float, counts: Counts, allowed: Allowed, rng: random.Random
 ) -> list[Relocation]:
-    """Iterations over the overloaded machines, on hosts that it changes."""
+    """Run one trial, which iterates over the overloaded machines. Modifies `hosts`."""
     relocations: list[Relocation] = []
     moved: set[tuple[str, int]] = set()
 
@@ -108,7 +108,7 @@
                 source,
                 [host for host in hosts if host is not source],
                 source.load - limit,
-                _below(limit),
+                _has_load_within(limit),
                 counts.moves - len(relocations),
                 may_move,
                 rng,
--- a/bayford/spread/score.py
+++ b/bayford/spread/score.py
@@ -1,10 +1,10 @@
-"""Which machine a task goes to: what the fetch of its image costs, against how loaded the machine is.
+"""Chooses machines for tasks by weighing the cost of fetching the image against the load of the machine.
 
-Both are seconds. A fetch costs its time on the machine's link, shared with other fetches. Load costs
-`load_s` for each share of the CPUs above the fleet's average, so that a busy machine which holds the image
-loses against an idle one when the fetch is cheaper. Among machines that cost the same the one is taken that
-rendezvous hashing gives the image: the same for as long as that machine is there, whoever comes or goes
-beside it, so that tasks of one image meet on few machines without a table of who has what.
+All costs are in seconds. A fetch costs its time on the machine's link, which other fetches share. Load costs
+`load_s` times the share of reserved CPUs above the fleet's average, so an idle machine is preferred to a busy
+one that has the image if the fetch costs less. Ties are broken by rendezvous hashing of the image: its choice
+stays the same while that machine exists, whichever other machines are added or removed. Tasks of an image
+thus concentrate on few machines, without a table of which machine has which image.
 """
 
 import heapq
@@ -15,23 +15,23 @@
 
 from bayford.scheduling.model import EPS, Job, Machine
 
-SHARED_FETCH = 1.0  # how much longer a fetch takes for each other one on the same link, as a share of it
-FETCH_LEFT = 0.5  # a fetch under way has this part of its time left, as a guess
+SLOWDOWN_PER_FETCH = 1.0  # relative slowdown of a fetch by each other fetch on the same link
+REMAINING_FETCH_SHARE = 0.5  # assumed share of its time that a fetch in progress still takes
 HASH_RANGE = 2**64
 
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """How much each part of the cost counts."""
+    """The weights of the parts of the cost."""
 
-    fetch: float = 1.0  # seconds of cost for a second of fetching
-    load_s: float = 10.0  # seconds for a whole machine's load above the average
-    affinity_s: float = 0.5  # seconds at the most between machines that differ by rendezvous hashing alone
+    fetch: float = 1.0  # seconds of cost per second of fetching
+    load_s: float = 10.0  # seconds of cost for a load (0 to 1) that is 1 above the average
+    affinity_s: float = 0.5  # maximum seconds of cost by which rendezvous hashes can differ
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What it costs to place a task on a machine, in seconds, part by part."""
+    """The cost of placing a task on a machine, by part, in seconds."""
 
     fetch_s: float
     load_s: float
@@ -39,38 +39,40 @@
 
     @property
     def total(self) -> float:
-        """All parts together."""
+        """The sum of all parts."""
         return self.fetch_s + self.load_s + self.affinity_s
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """A machine for one task, and why."""
+    """The machine chosen for one task, with the cost that decided."""
 
     machine: Machine
     cost: Cost
-    load: float  # reserved share of its CPUs, the task included
+    load: float  # reserved share of its CPUs, including the task
 
 
 def rendezvous(image: str, machine: str) -> float:
-    """A number in [0, 1) for a pair; the machine with the highest one is the image's. It depends on nothing
-    else, so that a machine which comes or goes changes only what is its own."""
+    """Returns a number in [0, 1) for the pair; an image prefers the machine with the highest number.
+
+    It depends on nothing else, so an added or removed machine affects only the images that prefer it.
+    """
     return xxhash.xxh3_64_intdigest(f"{image}\0{machine}".encode()) / HASH_RANGE
 
 
 def fetch_time(job: Job, machine: Machine, fetch_s: float) -> float:
-    """How long until the machine has the job's image, `fetch_s` if it has its link to itself."""
+    """Returns the seconds until the machine has the job's image. `fetch_s`: fetch time on an idle link."""
     fetched = machine.images.get(job.image)
     if fetched:
         return 0.0
     if fetched is not None:
-        return FETCH_LEFT * fetch_s
+        return REMAINING_FETCH_SHARE * fetch_s
     other_fetches = sum(not fetched for fetched in machine.images.values())
-    return fetch_s * (1.0 + SHARED_FETCH * other_fetches)
+    return fetch_s * (1.0 + SLOWDOWN_PER_FETCH * other_fetches)
 
 
 class Chooser:
-    """Chooses machines for the tasks of one job, one after the other; each choice changes the costs."""
+    """Chooses machines for the tasks of one job, one at a time, since each placement changes the costs."""
 
     def __init__(
         self,
@@ -80,7 +82,7 @@
         weights: Weights,
         fetch_s: Callable[[Machine], float],
     ) -> None:
-        """`average`: the fleet's load. `fetch_s`: how long a machine fetches the image by itself."""
+        """`average`: the fleet's average load. `fetch_s`: seconds to fetch the image on an idle link."""
         self._job = job
         self._average = average
         self._weights = weights
@@ -95,19 +97,21 @@
             heapq.heappush(self._heap, (cost.total, machine.index, machine, cost))
 
     def cost(self, machine: Machine) -> Cost:
-        """What one more task of the job costs on this machine as it is."""
+        """Returns the cost of one more task of the job on this machine in its present state."""
         weights = self._weights
         fetch = weights.fetch * fetch_time(self._job, machine, self._fetch_s(machine))
-        above = self._load_with_task(machine) - self._average
+        load_above_average = self._load_with_task(machine) - self._average
         affinity = weights.affinity_s * (1.0 - rendezvous(self._job.spec.image, machine.name))
-        return Cost(fetch, weights.load_s * above, affinity)
+        return Cost(fetch, weights.load_s * load_above_average, affinity)
 
     def _load_with_task(self, machine: Machine) -> float:
         return 1.0 - (machine.free_cpus - self._job.spec.cpus) / machine.cpus
 
     def next(self) -> Choice | None:
-        """The machine that costs least now, None if none has room. The caller reserves the machine for the
-        task and calls `placed`."""
+        """Returns the machine with the lowest cost, or None if none has room.
+
+        The caller reserves room for the task on the machine and then calls `placed`.
+        """
         while self._heap:
             _, _, machine, cost = heapq.heappop(self._heap)
             if machine.has_room(self._job.spec):
@@ -115,19 +119,21 @@
         return None
 
     def placed(self, choice: Choice) -> None:
-        """The chosen machine has been reserved for a task, and may take more."""
+        """Make the chosen machine available for further tasks, after room for this one has been reserved."""
         self._push(choice.machine)
 
 
 def describe(choices: Iterable[Choice], had_image: Mapping[int, bool]) -> str:
-    """For the log: how many tasks go where, and what decided. `had_image`: by machine, whether it held the
-    image already. There must be at least one choice."""
+    """Returns a summary of the choices, of which there must be at least one, for the log.
+
+    `had_image`: by machine index, whether the machine had the image before.
+    """
     chosen = list(choices)
-    holding = sum(had_image.get(choice.machine.index, False) for choice in chosen)
+    with_image = sum(had_image.get(choice.machine.index, False) for choice in chosen)
     machines = len({choice.machine.index for choice in chosen})
     loads = [choice.load for choice in chosen]
     max_fetch_s = max(choice.cost.fetch_s for choice in chosen)
     return (
-        f"tasks={len(chosen)} machines={machines} with_image={holding} max_fetch_s={max_fetch_s:.1f} "
+        f"tasks={len(chosen)} machines={machines} with_image={with_image} max_fetch_s={max_fetch_s:.1f} "
         f"min_load={min(loads):.2f} max_load={max(loads):.2f}"
     )
