--- a/bayford/admission/control.py
+++ b/bayford/admission/control.py
@@ -11,8 +11,8 @@
 from bayford.admission.allotment import Allotment, Floors
 from bayford.admission.level import Flow, Level, Window, window_width
 
-MIN_CORRECTION, MAX_CORRECTION = 0.05, 4.0
-MIN_CORRECTION_STEP, MAX_CORRECTION_STEP = 0.8, 1.25  # bounds of the change between levels
+MIN_CORRECTION, MAX_CORRECTION = 0.05, 4.0  # bounds of the factor on all window widths
+MIN_CORRECTION_STEP, MAX_CORRECTION_STEP = 0.8, 1.25  # bounds of its factor between two levels
 ACCEPT_RPS_MARGIN = 1.5  # `accept_rps` over capacity: it only bounds bursts, the windows enforce the capacity
 FULLY_ADMITTED_SHARE = 0.999  # a flow that gets at least this share of its demand needs no window
 SUBMISSIONS, BACKLOG = "submissions", "backlog"  # stored values of `Level.reason`
