--- a/bayford/coordination/__init__.py
+++ b/bayford/coordination/__init__.py
@@ -1,5 +1,5 @@
-"""One controller at work: who leads, what the leader decides, what users and workers are answered.
+"""The controller: selection of the leader, decisions of the leader, and requests of users and workers.
 
 Subpackages: `leadership` (membership and the leadership record), `leader` (state and decisions of the
-leader), `api` (requests of users) and `workers` (heartbeats of workers). `controller` wires them together.
+leader), `api` (requests of users) and `workers` (heartbeats of workers). `controller` connects them.
 """
--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -1,8 +1,9 @@
-"""One controller: puts its parts together, starts their threads, and answers users, workers and peers.
+"""One controller: constructs its components, starts their threads, and serves users, workers and peers.
 
-The parts and what they own: `leadership` (lease, leadership record, verification), `leader` (state and
-decisions of the leader, the writes and cloud requests that follow), `workers` (heartbeats) and `api` (jobs of
-users). All of them read one `WatchCache` and write through counted connections to one key-value store.
+Components are grouped by package: `leadership` (lease, leadership record, verification), `leader` (state and
+decisions of the leader, the resulting writes and cloud requests), `workers` (heartbeats) and `api` (jobs of
+users). All of them read one `WatchCache` and write to one key-value store through connections that count
+requests.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 from bayford.coordination.leadership.manager import LeadershipManager
 from bayford.coordination.leadership.membership import Membership
 from bayford.coordination.leadership.peer_poller import PeerPoller
-from bayford.coordination.leadership.peers import Ask, Peers
+from bayford.coordination.leadership.peers import Peers, PollStatus
 from bayford.coordination.leadership.stall_detector import StallDetector
 from bayford.coordination.leadership.verification import LeadershipVerifier, Pause
 from bayford.coordination.loops import Step, start_loop
@@ -48,22 +49,24 @@
     from bayford.coordination.leader.admission_publisher import AdmissionPublisher
 
 WATCH_S = 8.0  # how long one watch of the store waits for a change
-# between two watches of the leader, which learns of new jobs and cancellations by them
+# Delay between two watches of the leader; short, because the watches deliver new jobs and cancellations.
 LEADER_WATCH_GAP_S = 0.1
 MIN_WATCH_GAP_S = 0.05
-WATCH_SHARE = 4.0  # in requests: the watches of all controllers take a quarter of the limit at the most
+# The delay between two watches of a follower is this factor times the number of controllers, divided by the
+# request limit per second: the watches of all controllers then take at most a quarter of the limit.
+WATCH_GAP_FACTOR = 4.0
 MIN_READ_GAP_S = 0.02
-READ_SHARE = 1.8  # in requests: the reads of all controllers take a little over half of the limit at the most
+# The same calculation for reads: those of all controllers take at most a little over half of the limit.
+READ_GAP_FACTOR = 1.8
 
 
-def _no_answer(_address: str, _body: bytes) -> bytes | None:
-    """The command sender of a controller that reaches no worker directly."""
+def _send_nothing(_address: str, _body: bytes) -> bytes | None:
+    """The default `SendCommand`: does not reach any worker."""
     return None
 
 
 class Controller:
-    """Wires store, cloud, watch cache, leadership, scheduler and the services for users and workers
-    together."""
+    """Connects store, cloud, watch cache, leadership, scheduler and the services for users and workers."""
 
     def __init__(
         self,
@@ -72,9 +75,9 @@
         store: KeyValueStore,
         cloud: Cloud,
         incarnation: str,
-        peers: dict[str, Ask],
+        peers: dict[str, PollStatus],
         notify: dict[str, Notify] | None = None,
-        command: SendCommand = _no_answer,
+        command: SendCommand = _send_nothing,
         *,
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
@@ -82,9 +85,10 @@
         threaded: bool = True,
         release: int = mesh.RELEASE,
     ) -> None:
-        """`incarnation`: of this process, never used before. `peers` and `notify`: how to poll each of the
-        other controllers, and how to report cancellations to it. `pause` waits for an event; tests move their
-        clock instead. Without `threaded` reads are the caller's own."""
+        """`incarnation`: identifies this process; must never have been used before. `peers` and `notify`: the
+        functions that poll each other controller and report cancellations to it. `pause` waits for an event;
+        tests advance their clock instead. Unless `threaded`, there is no reader thread and each caller of
+        `WatchCache.refresh` reads by itself."""
         self.settings = settings
         self.name = settings.member
         self.incarnation = incarnation
@@ -96,21 +100,21 @@
         self._pause = pause
         self.signals = Signals()
         self.stall_detector = StallDetector(clock)
-        self._make_store_parts(store, threaded)
-        self._make_membership_parts(peers)
-        self._make_leadership_parts()
-        self._make_worker_parts(command)
+        self._make_store_components(store, threaded)
+        self._make_membership_components(peers)
+        self._make_leadership_components()
+        self._make_worker_components(command)
         self._make_leader_writers()
-        self._make_scaling_parts(cloud)
+        self._make_scaling_components(cloud)
         self.admission = self._make_admission() if scheduler.policy.admission else None
-        self._make_user_parts(notify or {})
+        self._make_user_components(notify or {})
         listeners = (self.heartbeats, self.stop_commands, self.admission)
         scheduler.connect(self.watch_cache, *filter(None, listeners))
 
-    # -- the parts -------------------------------------------------------------------------------------
+    # -- components ------------------------------------------------------------------------------------
 
-    def _make_store_parts(self, store: KeyValueStore, threaded: bool) -> None:
-        # One connection for each component, so that the log can tell whose requests the service refuses.
+    def _make_store_components(self, store: KeyValueStore, threaded: bool) -> None:
+        # One connection per component, so that the log shows whose requests the service refuses.
         self._task_log_store = CountingStore(store, "task_log")
         self._membership_store = CountingStore(store, "membership")
         self._users_store = CountingStore(store, "users")
@@ -124,7 +128,7 @@
             self._on_read,
         )
 
-    def _make_membership_parts(self, peers: dict[str, Ask]) -> None:
+    def _make_membership_components(self, peers: dict[str, PollStatus]) -> None:
         settings, clock = self.settings, self._clock
         zones = {peer.member: peer.zone for peer in settings.peers} | {self.name: settings.zone}
         self.peers = Peers(self.name, peers, zones, self.release, clock)
@@ -143,7 +147,7 @@
         self.connectivity = Connectivity(self.membership, self.peers, clock)
         self.dispatcher = RowDispatcher(self.name, self.membership, self.scheduler, self.signals, self._wall)
 
-    def _make_leadership_parts(self) -> None:
+    def _make_leadership_components(self) -> None:
         clock = self._clock
         self.verifier = LeadershipVerifier(
             scheduler=self.scheduler,
@@ -175,7 +179,7 @@
             self.peers, self.membership, self.watch_cache, self.leadership.follow_record, self._on_peer_status
         )
 
-    def _make_worker_parts(self, command: SendCommand) -> None:
+    def _make_worker_components(self, command: SendCommand) -> None:
         self.relay = Relay(self.name, self.watch_cache, self.limits, self._clock, self._wall)
         self.relay_publisher = RelayPublisher(self.relay, self._task_log_store, self.limits, self._clock)
         self.heartbeats = HeartbeatService(
@@ -217,7 +221,7 @@
             self._wall,
         )
 
-    def _make_scaling_parts(self, cloud: Cloud) -> None:
+    def _make_scaling_components(self, cloud: Cloud) -> None:
         self.cloud_operations = CloudOperations(
             cloud,
             self.scheduler,
@@ -241,7 +245,7 @@
         )
 
     def _make_admission(self) -> AdmissionPublisher:
-        # Imported here: where admission is off, a start does not pay for it and its libraries.
+        # Imported here so that a controller without admission control does not load it and its libraries.
         from bayford.coordination.leader.admission_publisher import AdmissionPublisher
 
         return AdmissionPublisher(
@@ -255,7 +259,7 @@
             wall=self._wall,
         )
 
-    def _make_user_parts(self, notify: dict[str, Notify]) -> None:
+    def _make_user_components(self, notify: dict[str, Notify]) -> None:
         cancel_s = self.settings.facts.workers.cancel_s
         self.notices = CancellationNotices(
             self.name, notify, lambda: self.membership.record.leader, cancel_s, self._wall
@@ -272,7 +276,7 @@
         stores = (self._task_log_store, self._membership_store, self._users_store, self._reads_store)
         self._status_log = StatusLog(self.scheduler, stores, self._refused_submissions)
 
-    # -- what the parts learn from one another -----------------------------------------------------------
+    # -- callbacks between components ------------------------------------------------------------------
 
     def _on_rows(self, rows: list[Row]) -> None:
         self.dispatcher.on_rows(rows)
@@ -291,11 +295,11 @@
     # -- threads ---------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Start all threads; they run until the process ends."""
+        """Start all threads. They run until the process ends."""
         for name, step in self._loops():
             start_loop(name, step)
-        # All controllers read; together they must stay well below the state service's limit.
-        gap_s = max(MIN_READ_GAP_S, READ_SHARE * self.settings.facts.nodes / self.limits.rps)
+        # The reads of all controllers together must stay well below the state service's request limit.
+        gap_s = max(MIN_READ_GAP_S, READ_GAP_FACTOR * self.settings.facts.nodes / self.limits.rps)
         reader = threading.Thread(
             target=self.watch_cache.serve_refreshes, args=(gap_s,), name="reads", daemon=True
         )
@@ -323,16 +327,20 @@
             yield f"stop{number}", self.stop_commands.step
 
     def watch_step(self) -> float:
-        """Watch the store once. Every change ends the watches of all controllers, and each new watch is a
-        request under the limit that all share: unbounded, ten commits a second would take most of it. What
-        needs to be known more exactly is read."""
+        """Watch the store once. Returns the delay until the next watch, in seconds.
+
+        Every change ends the watches of all controllers, and each new watch is a request that counts against
+        the limit they share: without a delay, ten commits a second would use most of it. Where newer data is
+        needed, the store is read.
+        """
         self.watch_cache.pull(WATCH_S)
         if self.scheduler.leader:
             return LEADER_WATCH_GAP_S
-        return max(MIN_WATCH_GAP_S, WATCH_SHARE * self.settings.facts.nodes / self.limits.rps)
+        return max(MIN_WATCH_GAP_S, WATCH_GAP_FACTOR * self.settings.facts.nodes / self.limits.rps)
 
     def membership_step(self) -> float:
-        """Keep the lease and the role, then pass relayed heartbeats on."""
+        """Run a step of the leadership manager, then publish relayed heartbeats. Returns the seconds until
+        the next step."""
         period_s = self.leadership.step()
         self.relay_publisher.publish()
         return period_s
@@ -340,13 +348,13 @@
     # -- peers -----------------------------------------------------------------------------------------
 
     def on_cancellations(self, cancelled: dict[str, float]) -> None:
-        """Another controller has confirmed these cancellations: job and time of day."""
+        """Called when another controller has confirmed cancellations. `cancelled`: time of day by job."""
         self.relay.on_cancelled(cancelled)
         self.scheduler.on_cancelled(cancelled)
         self.signals.round.set()
 
     def status(self) -> mesh.Status:
-        """The status that other controllers poll."""
+        """Returns the status that other controllers poll."""
         record = self.membership.record
         submitted = None if self.admission is None else self.admission.submitted()
         return mesh.Status(
@@ -368,15 +376,15 @@
 
     @property
     def admission_on(self) -> bool:
-        """Whether submissions pass an admission gate."""
+        """Whether submissions are subject to admission control."""
         return self.admission is not None
 
     def healthy(self) -> bool:
-        """Whether this controller can take requests.
+        """Whether this controller can serve requests of users.
 
-        In an outage of the state service all controllers stay healthy: users are told to come back, and none
-        has to be found healthy again afterwards. A controller that alone is cut off from the state service
-        sends users elsewhere.
+        In an outage of the state service all controllers stay healthy: users are asked to retry, and no
+        controller has to pass a health check again afterwards. A controller that alone is cut off from the
+        state service reports itself unhealthy, so that users go to other controllers.
         """
         if self.watch_cache.revision < 0 or self.connectivity.is_isolated():
             return False
@@ -387,7 +395,7 @@
         return self._jobs.submit(body)
 
     def query(self, job_id: str) -> Reply:
-        """A job's state."""
+        """Returns the state of a job."""
         return self._jobs.query(job_id)
 
     def cancel(self, job_id: str) -> Reply:
--- a/bayford/coordination/leadership/__init__.py
+++ b/bayford/coordination/leadership/__init__.py
@@ -1,4 +1,4 @@
-"""Which controller leads: the membership lease, the leadership record, elections and transfers.
+"""Selection of the leader: membership lease, leadership record, failover and leadership transfer.
 
-Owns the controller's lease and its copy of the leadership record. Only `membership` writes that record.
+Owns the controller's lease and its copy of the leadership record. Only `membership` writes the record.
 """
--- a/bayford/coordination/leadership/connectivity.py
+++ b/bayford/coordination/leadership/connectivity.py
@@ -1,15 +1,15 @@
-"""Which of the services and controllers around it this controller reaches."""
+"""Whether this controller reaches the state service and the other controllers."""
 
 from collections.abc import Callable
 
 from bayford.coordination.leadership.membership import Membership
-from bayford.coordination.leadership.peers import SERVED_S, Peers
+from bayford.coordination.leadership.peers import SERVED_TTL_S, Peers
 
-ISOLATED_S = 4.0  # longer than a member's lease
+ISOLATED_S = 4.0  # longer than the lease of a member key
 
 
 class Connectivity:
-    """Judges by what membership and peers last received. Any thread may ask."""
+    """Derives reachability from the last answers to membership requests and peer polls. Thread-safe."""
 
     def __init__(self, membership: Membership, peers: Peers, clock: Callable[[], float]) -> None:
         self._membership = membership
@@ -18,14 +18,14 @@
         self._started_at = clock()
 
     def store_reachable(self) -> bool:
-        """Whether the state service has lately executed a request of this controller."""
-        return self._clock() - self._membership.last_renewed_at < SERVED_S
+        """Whether the state service has executed a membership request within the last `SERVED_TTL_S`."""
+        return self._clock() - self._membership.last_renewed_at < SERVED_TTL_S
 
     def is_isolated(self) -> bool:
-        """Whether this controller must be the only one that is cut off.
+        """Whether this controller must be the only one that is cut off from the network.
 
-        For longer than a member's lease neither the state service, which in an outage at least refuses
-        requests, nor any other controller has answered.
+        For longer than the lease of a member key, neither the state service nor any other controller has
+        answered. In an outage the state service would still refuse requests, which counts as an answer.
         """
-        last_contact_at = max(self._membership.last_reply_at, self._peers.heard_at, self._started_at)
+        last_contact_at = max(self._membership.last_reply_at, self._peers.last_status_at, self._started_at)
         return bool(self._peers.asks) and self._clock() - last_contact_at > ISOLATED_S
--- a/bayford/coordination/leadership/manager.py
+++ b/bayford/coordination/leadership/manager.py
@@ -1,8 +1,8 @@
-"""Keeps this controller's role in line with the leadership record.
+"""Makes this controller lead or follow according to the leadership record.
 
 One thread runs `step`: it renews the membership lease, fails over when there is no leader, transfers
-leadership when workers reach another controller only, and recovers the state when this controller has become
-leader.
+leadership when workers can reach only another controller, and recovers the state when this controller has
+become the leader.
 """
 
 import logging
@@ -28,15 +28,17 @@
 log = logging.getLogger(__name__)
 
 STEP_PERIOD_S = 0.15
-SETTLED_S = 4.0  # after its start, or an attempt, before a controller takes over from an older release
-SUMMARY_MAX_AGE_S = 180.0  # an older load summary says nothing about the machines as they are now
-VERIFY_PERIOD_S = 2.0  # how old the leader lets its last read become while nothing is to be started
-VERIFY_POLL_S = 0.25
+# Delay from the start of the process, and between two attempts, before taking over from a leader of an older
+# release.
+REPLACEMENT_DELAY_S = 4.0
+SUMMARY_MAX_AGE_S = 180.0  # an older load summary does not describe the current state of the machines
+VERIFY_PERIOD_S = 2.0  # the longest interval between verifications while no starts wait for one
+VERIFY_POLL_S = 0.25  # the longest wait for a verification request
 
 
 class LeadershipManager:
-    """Owns the transitions between leader and follower. `step` and recovery belong to one thread;
-    `follow_record` and `verify_once` may be called by others, too."""
+    """Owns the transitions between leader and follower. Only the membership thread calls `step` and recovers
+    the state; other threads may call `follow_record` and `verify_once`."""
 
     def __init__(
         self,
@@ -55,8 +57,8 @@
         clock: Callable[[], float],
         wall: Callable[[], float],
     ) -> None:
-        """`store`: what the layout of the task log is written to."""
-        self._worker_times = settings.facts.workers
+        """`store`: the key-value store that the layout of the task log is written to."""
+        self._worker_settings = settings.facts.workers
         self._scheduler = scheduler
         self._membership = membership
         self._peers = peers
@@ -70,15 +72,16 @@
         self._clock = clock
         self._wall = wall
         self._started_at = clock()
-        self._replacement_tried_at = self._started_at
-        self._transfer_tried_at = self._started_at
-        # Set, and replaced by a new one, whenever this controller has recovered as leader.
+        self._replacement_attempted_at = self._started_at
+        self._transfer_attempted_at = self._started_at
+        # Set, and replaced by a new event, each time this controller has recovered the state as leader.
         self.recovered = threading.Event()
 
     # -- the membership thread -------------------------------------------------------------------------
 
     def step(self) -> float:
-        """Renew the lease, follow the leadership record, and change it where that is due."""
+        """Renew the lease, fail over, take over or transfer leadership when due, and follow the leadership
+        record. Returns the seconds until the next step."""
         self._membership.step()
         self._replace_leader_of_older_release()
         self.follow_record(recover=True)
@@ -87,48 +90,49 @@
         return STEP_PERIOD_S
 
     def _replace_leader_of_older_release(self) -> None:
-        """In an upgrade, take over from a leader of an older release before it is killed.
+        """During an upgrade, take over from a leader of an older release before it is killed.
 
-        No lease has to run out for that, and no second failover is needed. Only while nothing else is amiss:
-        all live controllers and the state service are in reach.
+        This avoids waiting for its lease to expire, and a second failover. It is done only while all live
+        controllers and the state service are reachable.
         """
         now = self._clock()
         if (
-            now - self._started_at >= SETTLED_S
-            and now - self._replacement_tried_at >= SETTLED_S
+            now - self._started_at >= REPLACEMENT_DELAY_S
+            and now - self._replacement_attempted_at >= REPLACEMENT_DELAY_S
             and self._connectivity.store_reachable()
             and not self._peers.unreachable & set(self._membership.live_members())
             and self._membership.should_replace_older_leader()
         ):
-            self._replacement_tried_at = now
+            self._replacement_attempted_at = now
             log.info("replacing leader of older release: leader=%s", self._membership.record.leader)
             self._watch_cache.pull(0.0)
             self._membership.acquire_leadership(self._membership.name)
 
     def _transfer_leadership(self) -> None:
-        """Give leadership to a controller that receives the workers' heartbeats, if this one gets hardly any.
+        """Transfer leadership to a controller that receives the workers' heartbeats if this one receives few.
 
-        An ordinary change of the leadership record: whoever reads it later than others, or answers with the
-        old fencing token, is treated like any deposed leader. Not before this leader has led for a worker's
-        lease: by then the workers that could not reach the leader before it have found their way.
+        The transfer is an ordinary change of the leadership record: a controller that reads it later than
+        others, or still answers with the old fencing token, is treated like any deposed leader. No transfer
+        happens before this controller has been the leader for the duration of a worker's lease: by then the
+        workers that could not reach the previous leader have found a controller that answers.
         """
         now = self._clock()
         if (
             not self._scheduler.leader
-            or now - self._scheduler.leader_since < self._worker_times.lease_s
-            or now - self._transfer_tried_at < transfer.RETRY_S
+            or now - self._scheduler.leader_since < self._worker_settings.lease_s
+            or now - self._transfer_attempted_at < transfer.RETRY_S
             or not self._verifier.is_verified_leader()
         ):
             return
-        window_s = transfer.contact_window(self._worker_times.heartbeat_interval_s)
+        window_s = transfer.contact_window_s(self._worker_settings.heartbeat_interval_s)
         contact = self._scheduler.worker_contact(now - window_s)
         candidates = set(self._membership.live_members()) - self._peers.older() - {self._membership.name}
         successor = transfer.successor(contact, candidates)
         if successor is None:
             return
-        self._transfer_tried_at = now
+        self._transfer_attempted_at = now
         log.info(
-            "transferring leadership: to=%s machines_heard_there=%d machines_heard_here=%d",
+            "transferring leadership: successor=%s machines_relayed=%d machines_direct=%d",
             successor,
             contact.relayed[successor],
             contact.direct,
@@ -137,8 +141,8 @@
         self.follow_record()
 
     def _record_layout(self) -> None:
-        """Write down, once and for all, the size of a value that the task log is laid out for: settings with
-        limits to come must not change how it is read."""
+        """As the leader, store the value size in bytes that the task log is laid out for, unless it is stored
+        already. It never changes: settings with other limits must not change how the log is read."""
         term = self._scheduler.term
         if not self._scheduler.leader or self._watch_cache.get(records.LAYOUT) is not None:
             return
@@ -151,42 +155,43 @@
     # -- following the leadership record ---------------------------------------------------------------
 
     def follow_record(self, recover: bool = False) -> None:
-        """Step down if the leadership record names another process; with `recover`, begin to lead if it names
-        this one.
+        """Step down if this process is not the leader of the term that the scheduler acts in; with `recover`,
+        recover the state if the leadership record names this process.
 
-        Only the membership thread recovers. Of two recoveries at a time one could replace, by records read
-        earlier, what the scheduler has decided since the other.
+        Only the membership thread recovers: of two concurrent recoveries, one could overwrite decisions that
+        the scheduler made after the other with records that were read earlier.
         """
         record = self._membership.record
-        leads = self._membership.is_record_of_this_process(record) and not self._membership.superseded
-        if self._scheduler.leader and not (leads and self._scheduler.term == record.version):
+        is_leader = self._membership.is_record_of_this_process(record) and not self._membership.is_superseded
+        if self._scheduler.leader and not (is_leader and self._scheduler.term == record.version):
             self._scheduler.step_down()
-        if recover and leads and not self._scheduler.leader:
+        if recover and is_leader and not self._scheduler.leader:
             self._recover(record)
 
     def _recover(self, record: LeadershipRecord) -> None:
-        """Rebuild the leader's state from what the watch cache holds."""
-        # Every write that an older leadership record allowed is in the watch cache after this read: the new
-        # record was written later than all of them, and none can come after it.
+        """Rebuild the leader's state from the watch cache."""
+        # After this read the watch cache contains every write that was conditional on an older leadership
+        # record: the new record was written after all of them, and no such write can be applied after it.
         self._watch_cache.pull(0.0)
         if self._membership.record.version != record.version:
             return
-        read_at = self._watch_cache.revision
+        read_revision = self._watch_cache.revision
         self._scheduler.recover(self._read_state(record))
         recovered, self.recovered = self.recovered, threading.Event()
         recovered.set()
-        # Rows that came in while the records were being read were passed to no leader: pass them on now. A
-        # row that the scheduler knows already changes nothing.
-        for row in self._watch_cache.jobs_since(read_at):
+        # Rows that arrived while the records were being read were not passed to the scheduler, which was not
+        # the leader yet: pass them on now. A row that the scheduler already knows changes nothing.
+        for row in self._watch_cache.jobs_since(read_revision):
             self._dispatcher.reconcile_job(row)
         for row in self._watch_cache.rows_below(records.RELAYS):
             self._dispatcher.on_rows([row])
         self._signals.round.set()
 
     def _read_state(self, record: LeadershipRecord) -> RecoveredState:
+        """Returns the state to recover from, read from the watch cache."""
         cache = self._watch_cache
         summaries = cache.rows_below(records.SUMMARIES)
-        # The age of the read is taken before the jobs are read: they may be newer, never older than it.
+        # Taken before the jobs are read, so that the jobs may be newer than `as_of` but never older.
         as_of = cache.as_of
         return RecoveredState(
             term=record.version,
@@ -194,38 +199,41 @@
             as_of=as_of,
             summarized_images=load_summary.newest(summaries, self._wall() - SUMMARY_MAX_AGE_S),
             next_attempt=cache.with_task_log(lambda task_log: task_log.next_attempt),
-            migration_counts=self._values_below(records.MIGRATION_COUNTS),
-            zone_records=self._values_below(records.ZONES),
+            migration_counts=self._read_values(records.MIGRATION_COUNTS),
+            zone_records=self._read_values(records.ZONES),
             jobs=cache.open_jobs(),
         )
 
-    def _values_below(self, prefix: str) -> Mapping[str, Any]:
+    def _read_values(self, prefix: str) -> Mapping[str, Any]:
+        """Returns the values of the keys with `prefix`, by the rest of the key."""
         return {row.key[len(prefix) :]: row.value for row in self._watch_cache.rows_below(prefix)}
 
     # -- the verification thread -----------------------------------------------------------------------
 
     def verify_step(self) -> float:
-        """Wait until a verification is asked for or due."""
+        """Wait up to `VERIFY_POLL_S` for a verification request, then verify if one is requested or due."""
         self._signals.verify.wait(VERIFY_POLL_S)
         self.verify_once()
         return 0.0
 
     def verify_once(self) -> None:
-        """Read the store if starts wait for that, or if the last read is getting old.
+        """Read the store if a verification was requested or the last one is too old.
 
-        The read opens the gate of starts and proves that this controller still leads. It must be a read, not
-        a comparison of the leadership record: a comparison would pass while cancellations which other
-        controllers have confirmed are not known here, and their tasks would be started, or kept alive.
+        The read proves that this controller is still the leader and allows tasks to be started. It must be a
+        read, not a comparison of the leadership record's version: a comparison would succeed although this
+        controller does not know cancellations that other controllers have confirmed, and the cancelled tasks
+        would be started or kept alive.
         """
         if not self._scheduler.leader:
             self._signals.verify.clear()
             return
-        # Looked at before the read, or this verification would not count after it.
+        # Checked before the read: this call detects a stall that has just ended. Detected after the read, the
+        # stall would invalidate this verification.
         resumed_at = self._stall_detector.resumed_at()
         verified_at = self._scheduler.verified_at
         period_s = min(VERIFY_PERIOD_S, 0.25 * self._scheduler.staleness_limit())
-        recent = self._clock() - verified_at < period_s and verified_at >= resumed_at
-        if recent and not self._signals.verify.is_set():
+        is_recent = self._clock() - verified_at < period_s and verified_at >= resumed_at
+        if is_recent and not self._signals.verify.is_set():
             return
         self._signals.verify.clear()
         self._watch_cache.refresh(VERIFICATION_WAIT_S)
--- a/bayford/coordination/leadership/peer_poller.py
+++ b/bayford/coordination/leadership/peer_poller.py
@@ -1,4 +1,4 @@
-"""Polls the other controllers for their status."""
+"""Polls the other controllers for their status periodically."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class PeerPoller:
-    """Learns from the others whether the leader is in reach and whether a higher fencing token exists."""
+    """Keeps `Peers` up to date and detects that another controller knows a higher fencing token."""
 
     def __init__(
         self,
@@ -21,8 +21,8 @@
         follow_record: Callable[[], None],
         on_status: Callable[[mesh.Status], None],
     ) -> None:
-        """`follow_record`: called once a newer leadership record has been read. `on_status`: called with the
-        status of each controller that has answered."""
+        """`follow_record`: called after a read of the leadership record when a higher fencing token is known.
+        `on_status`: called with the status of each controller that has answered."""
         self._peers = peers
         self._membership = membership
         self._watch_cache = watch_cache
@@ -30,11 +30,11 @@
         self._on_status = on_status
 
     def step(self) -> float:
-        """Poll every other controller once."""
-        for status in self._peers.ask_all():
+        """Poll every other controller once. Returns the seconds until the next poll."""
+        for status in self._peers.poll_all():
             self._membership.observe_token(status.fencing_token)
             self._on_status(status)
-        if self._membership.superseded:
+        if self._membership.is_superseded:
             self._watch_cache.pull(0.0)
             self._follow_record()
         return POLL_PERIOD_S
--- a/bayford/coordination/leadership/peers.py
+++ b/bayford/coordination/leadership/peers.py
@@ -1,4 +1,4 @@
-"""The last status of every other controller: whether it is in reach and what it runs."""
+"""The last known status of the other controllers: reachability and release."""
 
 import logging
 from collections.abc import Callable, Iterator, Mapping
@@ -8,51 +8,54 @@
 
 log = logging.getLogger(__name__)
 
-ASK_TIMEOUT_S = 0.8
-SERVED_S = 3.0  # how long it holds that the state service has executed a request
+POLL_TIMEOUT_S = 0.8
+# A controller counts as served by the state service for this long after the service executed one of its
+# requests, or after a status that reports it as served.
+SERVED_TTL_S = 3.0
 
-Ask = Callable[[float], mesh.Status | None]  # timeout in seconds; None without an answer
+# Polls one controller. Takes a time-out in seconds; returns None if there was no answer.
+PollStatus = Callable[[float], mesh.Status | None]
 
 
 class Peers:
-    """One thread polls (`ask_all`), any may read."""
+    """The last status of each other controller. One thread calls `poll_all`; any thread may read."""
 
     def __init__(
         self,
         name: str,
-        asks: dict[str, Ask],
+        asks: dict[str, PollStatus],
         zones: Mapping[str, str],
         release: int,
         clock: Callable[[], float],
     ) -> None:
-        """`asks`: how to poll each. `zones`: of all controllers, this one included. `release`: of this
-        one."""
+        """`asks`: the function that polls each other controller. `zones`: the zone of each controller,
+        including this one. `release`: the release of this controller."""
         self.asks = asks
         self.release = release
-        self.releases: dict[str, int] = {}  # as of its last status
-        self.unreachable: set[str] = set()
-        self.served_at: dict[str, float] = {}  # when each last reported that the state service serves it
-        self.heard_at = NEVER  # when any last answered
+        self.releases: dict[str, int] = {}  # by controller, as of its last status
+        self.unreachable: set[str] = set()  # controllers that did not answer the last poll
+        self.served_at: dict[str, float] = {}  # by controller, when it last reported being served
+        self.last_status_at = NEVER  # when any controller last answered
         self._name = name
         self._zones = zones
         self._clock = clock
 
-    def ask_all(self) -> Iterator[mesh.Status]:
-        """Poll one after the other and yield each status as it comes: a controller that is down takes its
-        whole timeout."""
-        for name, ask in self.asks.items():
-            status = ask(ASK_TIMEOUT_S)
+    def poll_all(self) -> Iterator[mesh.Status]:
+        """Poll the controllers one after the other and yield each status as soon as it arrives, because a
+        controller that is down takes the whole time-out."""
+        for name, poll in self.asks.items():
+            status = poll(POLL_TIMEOUT_S)
             if status is None:
                 self.unreachable.add(name)
                 continue
             self.unreachable.discard(name)
-            self.heard_at = self._clock()
-            self._note_release(name, status.release)
+            self.last_status_at = self._clock()
+            self._record_release(name, status.release)
             if status.served:
                 self.served_at[name] = self._clock()
             yield status
 
-    def _note_release(self, name: str, release: int) -> None:
+    def _record_release(self, name: str, release: int) -> None:
         if self.releases.get(name) == release:
             return
         self.releases[name] = release
@@ -61,20 +64,20 @@
             log.info("upgrade complete: controllers=%d release=%d", len(self.asks) + 1, self.release)
 
     def older(self) -> set[str]:
-        """Those that run an older release than this controller."""
+        """Returns the other controllers whose last status reported an older release than this one's."""
         return {name for name, release in self.releases.items() if release < self.release}
 
     def served(self) -> list[str]:
-        """Those that the state service serves, the ones in the zone of this controller first."""
+        """Returns the other controllers that the state service serves, those of the same zone first."""
         now = self._clock()
-        able = [name for name, at in self.served_at.items() if now - at <= SERVED_S]
-        return sorted(able, key=lambda name: (self._zones.get(name) != self._zones[self._name], name))
+        served = [name for name, at in self.served_at.items() if now - at <= SERVED_TTL_S]
+        return sorted(served, key=lambda name: (self._zones.get(name) != self._zones[self._name], name))
 
     def reach_by_zone(self) -> dict[str, str]:
-        """By zone, how many of its controllers are in reach, as text for the log."""
-        out = {}
+        """Returns how many controllers of each zone are reachable, by zone, as text for the log."""
+        reach = {}
         for zone in set(self._zones.values()):
-            names = [name for name, site in self._zones.items() if site == zone]
-            reached = sum(name not in self.unreachable for name in names)
-            out[zone] = f"{reached} of {len(names)} controllers there in reach"
-        return out
+            names = [name for name, peer_zone in self._zones.items() if peer_zone == zone]
+            reachable = sum(name not in self.unreachable for name in names)
+            reach[zone] = f"{reachable} of {len(names)} reachable"
+        return reach
--- a/bayford/coordination/leadership/stall_detector.py
+++ b/bayford/coordination/leadership/stall_detector.py
@@ -1,21 +1,22 @@
-"""Detects that this process was stopped for a while.
+"""Detects that this process was suspended.
 
-A process can be stopped for seconds or minutes while its clocks run on. When it goes on every timer is due,
-each thread wakes by itself, and all that any of them knows is as old as the stall. Nothing else tells a stall
-from a minute in which nothing came in, so every thread that is about to act asks here first.
+A process can be suspended for seconds or minutes while its clocks advance. When it resumes, all timers are
+due, the threads wake independently of one another, and their data is at least as old as the stall was long.
+Nothing else distinguishes a stall from a period without incoming messages, so every thread checks this
+detector before it acts.
 """
 
 import threading
 from collections.abc import Callable
 
-# A shorter gap between two checks can't have cost the membership lease, and a busy processor causes gaps,
-# too.
-STALL_S = 2.0
+# A shorter gap between two checks cannot have made the membership lease expire, and a busy processor causes
+# short gaps, too.
+MIN_STALL_S = 2.0
 CHECK_PERIOD_S = 0.25
 
 
 class StallDetector:
-    """When this process last went on after a stall."""
+    """Records when this process last resumed after a stall."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -24,18 +25,19 @@
         self._resumed_at = self._checked_at
 
     def step(self) -> float:
-        """Check once; seconds until the next check."""
+        """Check once. Returns the seconds until the next check."""
         self.resumed_at()
         return CHECK_PERIOD_S
 
     def resumed_at(self) -> float:
-        """When the last stall ended, on the steady clock: what was known before may be old by any length.
+        """When the last stall ended, on the monotonic clock. Data received before may be arbitrarily old.
 
-        A thread of its own calls `step` every `CHECK_PERIOD_S`; the first call after a gap detects the stall.
+        A dedicated thread calls `step` every `CHECK_PERIOD_S`; the first call after a gap detects the stall,
+        whichever thread makes it.
         """
         with self._lock:
             now = self._clock()
-            if now - self._checked_at > STALL_S:
+            if now - self._checked_at > MIN_STALL_S:
                 self._resumed_at = now
             self._checked_at = now
             return self._resumed_at
--- a/bayford/coordination/loops.py
+++ b/bayford/coordination/loops.py
@@ -1,4 +1,4 @@
-"""Threads that repeat one step until the process ends."""
+"""Threads that repeat a step until the process ends."""
 
 import logging
 import threading
@@ -10,14 +10,14 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.3  # after a step that a service outside refused or did not answer
-RETRY_AFTER_FAULT_S = 1.0  # after a step that failed for a fault of the program
+RETRY_S = 0.3  # delay after an external service refused or did not answer a request
+RETRY_AFTER_FAULT_S = 1.0  # delay after a step failed because of a programming error
 
-Step = Callable[[], float]  # does its work once; seconds to wait before the next time
+Step = Callable[[], float]  # runs once; returns the seconds to wait before the next run
 
 
 def start_loop(name: str, step: Step) -> None:
-    """Repeat `step` in a daemon thread of its own."""
+    """Start a daemon thread that repeats `step`."""
     threading.Thread(target=_run, args=(name, step), name=name, daemon=True).start()
 
 
@@ -29,7 +29,7 @@
             log.debug("retrying: loop=%s error=%s", name, error)
             pause_s = RETRY_S
         except Exception:
-            # A thread that died would leave a controller that looks alive and does nothing.
+            # If the thread ended, the controller would look alive but no longer do this work.
             log.exception("step failed: loop=%s", name)
             pause_s = RETRY_AFTER_FAULT_S
         if pause_s > 0:
--- a/bayford/coordination/row_dispatcher.py
+++ b/bayford/coordination/row_dispatcher.py
@@ -1,4 +1,4 @@
-"""Changes of the key-value store, passed on to the parts of the controller that follow them."""
+"""Passes changed rows of the key-value store on to the components of the controller that use them."""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -14,8 +14,8 @@
 
 
 class RowDispatcher:
-    """Follows the rows that the watch cache takes in. Called by whichever thread has read them, one at a
-    time and in the order of the reads (see `WatchCache`)."""
+    """Dispatches the rows that the watch cache receives. Called by the thread that has read them, by one
+    thread at a time and in the order of the reads (see `WatchCache`)."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._wall = wall
 
     def on_rows(self, rows: Sequence[Row]) -> None:
-        """Take in rows that have changed."""
+        """Dispatch rows that have changed."""
         jobs_changed = False
         for row in rows:
             if row.key == records.LEADERSHIP:
@@ -44,19 +44,19 @@
                 jobs_changed = True
                 self.reconcile_job(row)
             elif row.key.startswith(records.RELAYS):
-                self._take_relayed_heartbeats(row)
+                self._apply_relayed_heartbeats(row)
         if jobs_changed:
             self._signals.round.set()
             self._signals.commit.set()
 
     def reconcile_job(self, row: Row) -> None:
-        """Bring the leader's state in line with a job's record."""
+        """Reconcile the leader's state with the record of a job."""
         try:
             self._scheduler.reconcile_job(records.decode(row.value), row.version)
         except records.UnreadableError as error:
             log.error("record unreadable: key=%s reason=%s", row.key, error)
 
-    def _take_relayed_heartbeats(self, row: Row) -> None:
+    def _apply_relayed_heartbeats(self, row: Row) -> None:
         relay, heartbeats = heartbeats_in(row, self._wall())
         if relay == self._member:
             return
--- a/bayford/coordination/signals.py
+++ b/bayford/coordination/signals.py
@@ -1,13 +1,14 @@
-"""Events by which the threads of one controller wake one another."""
+"""Events with which the threads of a controller wake one another."""
 
 import threading
 
 
 class Signals:
-    """One event for each loop that others wake. Setting an event twice before its loop runs wakes it once."""
+    """One event for each loop that other threads wake. Setting an event twice before the loop runs wakes it
+    once."""
 
     def __init__(self) -> None:
-        self.round = threading.Event()  # something has changed for the next scheduling round
+        self.round = threading.Event()  # a change that the next scheduling round has to consider
         self.commit = threading.Event()  # the leader's state has changes to write
-        self.verify = threading.Event()  # somebody waits for a verification of leadership
-        self.verified = threading.Event()  # a verification has succeeded since it was cleared
+        self.verify = threading.Event()  # a thread waits for a verification of leadership
+        self.verified = threading.Event()  # a verification has succeeded since this event was cleared
--- a/bayford/coordination/status_log.py
+++ b/bayford/coordination/status_log.py
@@ -1,4 +1,4 @@
-"""A periodic account in the log: which jobs wait and why, and what this controller asks of the store."""
+"""Logs periodically which jobs wait and why, and how many requests this controller sends to the store."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -12,7 +12,7 @@
 
 
 class StatusLog:
-    """Run by one thread."""
+    """The periodic status report in the log. Run by one thread."""
 
     def __init__(
         self,
@@ -20,13 +20,14 @@
         stores: Iterable[CountingStore],
         refused_submissions: Callable[[], int],
     ) -> None:
-        """`refused_submissions`: how many submissions admission has refused here so far."""
+        """`refused_submissions`: returns how many submissions this controller's admission control has refused
+        so far."""
         self._scheduler = scheduler
         self._stores = tuple(stores)
         self._refused_submissions = refused_submissions
 
     def step(self) -> float:
-        """Write the account once."""
+        """Log the status once. Returns the seconds until the next report."""
         for line in self._scheduler.waiting():
             log.info("%s", line)
         for store in self._stores:
--- a/bayford/coordination/store_writer.py
+++ b/bayford/coordination/store_writer.py
@@ -1,4 +1,4 @@
-"""Writes that depend on nothing and on which nothing depends: relayed heartbeats, load summaries."""
+"""Unconditional writes that no other write depends on: relayed heartbeats and load summaries."""
 
 import logging
 from collections.abc import Sequence
@@ -12,8 +12,8 @@
 def write_each(store: KeyValueStore, limits: StoreLimits, puts: Sequence[Put], max_puts: int = 1000) -> None:
     """Write the puts unconditionally, up to `max_puts` in one transaction.
 
-    What the store refuses for its size must not keep the rest from being written: such a transaction is
-    written again in halves, and a single value that is refused is logged and left out. Raises
+    A put that the store refuses for its size must not prevent the others from being written: a refused
+    transaction is retried in halves, and a single put that is refused is logged and skipped. Raises
     `UnavailableError` and `OutcomeUnknownError` like the store.
     """
     size = min(max_puts, limits.txn_ops)
--- a/bayford/coordination/token_bucket.py
+++ b/bayford/coordination/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket, for the rates that all controllers share at the state service and the cloud."""
+"""A token bucket for the request rates of the state service and the cloud, which all controllers share."""
 
 import threading
 import time
@@ -6,41 +6,41 @@
 
 
 class TokenBucket:
-    """Tokens come in at `rate` a second; at most `burst` of them are saved up. Any thread may use it."""
+    """Tokens accumulate at `rate` per second, up to `burst`. May be used by any thread."""
 
     def __init__(self, rate: float, burst: float, clock: Callable[[], float] = time.monotonic) -> None:
         self.rate = rate
         self.burst = burst
         self._clock = clock
-        self._lock = threading.Lock()  # guards the tokens and when they were counted
+        self._lock = threading.Lock()  # guards the number of tokens and the time of the last refill
         self._tokens = burst
-        self._counted_at = clock()
+        self._refilled_at = clock()
 
     def _refill(self) -> None:
         now = self._clock()
-        self._tokens = min(self.burst, self._tokens + (now - self._counted_at) * self.rate)
-        self._counted_at = now
+        self._tokens = min(self.burst, self._tokens + (now - self._refilled_at) * self.rate)
+        self._refilled_at = now
 
     def available(self) -> float:
-        """How many tokens there are; below 0 after a debt."""
+        """Returns the number of available tokens, below 0 while in debt."""
         with self._lock:
             self._refill()
             return self._tokens
 
     def wait_s(self, count: float) -> float:
-        """Seconds until there are `count` tokens."""
+        """Returns the seconds until `count` tokens are available."""
         with self._lock:
             self._refill()
             return max(0.0, (count - self._tokens) / self.rate)
 
     def take(self, count: float) -> None:
-        """Take tokens for something that is being sent, going into debt if need be."""
+        """Take `count` tokens for a request that is being sent, going into debt if there are too few."""
         with self._lock:
             self._refill()
             self._tokens -= count
 
     def drain(self) -> None:
-        """Drop what is saved up: the service has answered 429, so others have used the rate."""
+        """Discard the available tokens, after the service has answered 429: others have used the rate."""
         with self._lock:
             self._refill()
             self._tokens = min(self._tokens, 0.0)
