--- a/bayford/coordination/store_limits.py
+++ b/bayford/coordination/store_limits.py
@@ -1,7 +1,7 @@
 """Limits on the sizes and rates that the state service accepts.
 
-The service may switch from its current limits to lower ones, given in the settings, at any time without
-notice. The lower limits are therefore obeyed from the start: a value or a transaction that fits both is
+The service may switch from its current limits to those announced in the settings at any time, without notice.
+Of each pair the lower limit is therefore obeyed from the start: a value or a transaction that fits it is
 accepted before and after the switch (docs/measurements.md has the cost of that). If the service still refuses
 a transaction for its size, the limits here are lowered further, because a batch that is retried unchanged
 would never be written.
