--- a/bayford/coordination/api/__init__.py
+++ b/bayford/coordination/api/__init__.py
@@ -1,4 +1,4 @@
-"""The answers to users: submissions, queries and cancellations, and which submissions are admitted.
+"""The API for users: submissions, queries and cancellations of jobs, and admission control of submissions.
 
-Every controller serves these, whether it leads or not. The package writes job records and no other key.
+Every controller serves it, leader or not. The package writes job records and no other keys.
 """
--- a/bayford/coordination/api/acceptance_rate.py
+++ b/bayford/coordination/api/acceptance_rate.py
@@ -1,27 +1,28 @@
-"""How fast one controller writes acceptances: as the level allows it, and as the state service accepts them.
+"""Limits the rate at which one controller writes acceptances to what the level and the state service allow.
 
-Additive increase, multiplicative decrease: a refused acceptance halves the rate, a written one raises it a
-little. So a flood that no level limits yet does not fill the state service with requests that it refuses, and
-that would crowd out the task log, the leases and the level itself.
+The rate follows additive increase, multiplicative decrease: a refused write halves it, a successful one
+raises it by `INCREASE`. During a flood of submissions that no level limits yet, this keeps the controllers
+from filling the state service's request rate with writes that it refuses, at the expense of the task log, the
+leases and the level itself.
 """
 
 from collections.abc import Callable
 
 from bayford.coordination.token_bucket import TokenBucket
 
-DECREASE = 0.5  # factor of the rate after a refusal
-DECREASE_PAUSE_S = 0.25  # refusals so close to the last decrease come from the rate before it
-INCREASE = 0.25  # acceptances a second, for each that was written
-MIN_RATE = 0.5  # acceptances a second
+DECREASE = 0.5  # factor applied to the rate after a refusal
+DECREASE_PAUSE_S = 0.25  # refusals within this time after a decrease were caused by the rate before it
+INCREASE = 0.25  # acceptances per second, added for each acceptance that was written
+MIN_RATE = 0.5  # acceptances per second
 MIN_BURST = 2.0  # acceptances
-URGENT_RESERVE = 0.5  # of the burst, kept for urgent jobs
+URGENT_RESERVE = 0.5  # share of the burst that is reserved for urgent jobs
 
 
 class AcceptanceRateLimiter:
-    """A token bucket whose rate follows the answers of the state service. The caller locks."""
+    """A token bucket whose rate adapts to refusals by the state service. Callers must hold a lock."""
 
     def __init__(self, max_rate: float, clock: Callable[[], float]) -> None:
-        """`max_rate`: acceptances a second at the most, and to begin with."""
+        """`max_rate`: the maximum and initial rate, in acceptances per second."""
         self._max_rate = max_rate
         self._clock = clock
         self._rate = max_rate
@@ -29,9 +30,9 @@
         self._bucket = TokenBucket(max_rate, max(MIN_BURST, max_rate), clock)
 
     def take(self, urgent: bool, level_rate: float | None) -> bool:
-        """Whether one more acceptance may be written now; it is counted if so.
+        """Take a token for one acceptance. Returns False, and takes none, if it may not be written now.
 
-        `level_rate`: acceptances a second that the level allows this controller, None for any number.
+        `level_rate`: acceptances per second that the level allows this controller, None if it sets no limit.
         """
         rate = self._rate if level_rate is None else min(self._rate, level_rate)
         self._bucket.rate = rate
@@ -43,11 +44,11 @@
         return True
 
     def written(self) -> None:
-        """The state service has written an acceptance."""
+        """Raise the rate after the state service has executed the transaction of an acceptance."""
         self._rate = min(self._max_rate, self._rate + INCREASE)
 
     def refused(self) -> None:
-        """The state service has refused an acceptance."""
+        """Lower the rate after the state service has refused the transaction of an acceptance."""
         now = self._clock()
         if now - self._decreased_at >= DECREASE_PAUSE_S:
             self._decreased_at = now
--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -1,9 +1,10 @@
-"""Admission at one controller: the leader's level applied to each submission that is not known yet.
+"""Applies the leader's admission level to each submission of a new job at one controller.
 
-Each answer rests on one revision of the watch cache, read after the submission came. An admission is
-conditional on the level's version, so that it holds under the level in force when it is written.
+Each decision uses a single revision of the watch cache, read after the submission arrived. The write of an
+admitted job is conditional on the version of the level, so it succeeds only while that level is still
+current.
 
-Imported only where admission is on.
+Imported only if admission is on.
 """
 
 import logging
@@ -25,37 +26,38 @@
 
 log = logging.getLogger(__name__)
 
-# When to submit again a job that is admitted but exceeds the rate of acceptances.
-URGENT_PACED_RETRY_S, PACED_RETRY_S = 1, 5
+# Retry-After of a submission that the level admits but that exceeds the rate of acceptances, in seconds.
+URGENT_RATE_LIMITED_RETRY_S, RATE_LIMITED_RETRY_S = 1, 5
 TOO_MANY_REQUESTS = 429
 SERVICE_UNAVAILABLE = 503
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The decision on a submission: a refusal, or the conditions under which it may be written."""
+    """The decision on a submission: a refusal, or the conditions of the write that accepts it."""
 
     refusal: Reply | None
-    conditions: dict[str, int]  # versions that keys have to stand at
+    conditions: dict[str, int]  # by key: the version that it must have in the transaction
 
 
 @dataclass(frozen=True, slots=True)
 class LevelView:
-    """The level as of one revision of the watch cache."""
+    """The admission level and the live controllers, at one revision of the watch cache."""
 
-    level: Level | None  # None: there is none, or none that can be read
-    version: int  # of its key, 0 if there is none
-    lacking: tuple[str, ...]  # live controllers that don't keep to levels: this one is not in force
-    controllers: int  # how many live
+    level: Level | None  # None: no level is stored, or it is unreadable
+    version: int  # version of the level's key, 0 if no level is stored
+    lacking: tuple[str, ...]  # live controllers that don't apply levels; if any, the level is not in force
+    controllers: int  # number of live controllers
 
     @property
     def in_force(self) -> Level | None:
-        """The level to keep to, None to admit everything."""
+        """Returns the level to apply, None if everything is admitted."""
         return None if self.lacking else self.level
 
 
 class AdmissionGate:
-    """The decisions at this controller, its part of the pace, and the sample of what was submitted here.
+    """Decides on the submissions at this controller, limits its acceptances to its share of the level's rate,
+    and samples the jobs submitted to it.
 
     Called by any thread; `flow` also under the lock of the leader's state.
     """
@@ -63,26 +65,26 @@
     def __init__(
         self, watch_cache: WatchCache, classes: Iterable[str], write_rps: float, clock: Callable[[], float]
     ) -> None:
-        """`classes`: those that the deployment names; all others count as one. `write_rps`: changes a second
-        that the state service allows."""
+        """`classes`: the job classes that the deployment's settings name; all others count as one class.
+        `write_rps`: writes per second that the state service allows."""
         self._watch_cache = watch_cache
         self._classes = frozenset(classes)
         self._clock = clock
-        self._lock = threading.Lock()  # guards all below but `_lacking`, which only decides on a log line
+        self._lock = threading.Lock()  # guards all below except `_lacking`, which only triggers a log line
         self._decoded_version = 0
-        self._decoded: Level | None = None  # the level at that version
+        self._decoded: Level | None = None  # the level at `_decoded_version`
         self._lacking: tuple[str, ...] = ()
         self._rate_limiter = AcceptanceRateLimiter(write_rps, clock)
         self._submitted = SubmittedJobs()
         self._refused = 0
 
     def flow(self, spec: JobSpec) -> Flow:
-        """The flow that a job belongs to."""
+        """Returns the flow that a job belongs to."""
         job_class = spec.job_class if spec.job_class in self._classes else OTHER_CLASS
         return Flow(spec.priority, job_class, spec.team)
 
     def check(self, spec: JobSpec) -> Verdict:
-        """Decide on a valid submission of a job that the watch cache, just read, does not know."""
+        """Decide on a valid submission of a job that is not in the watch cache, which was just refreshed."""
         flow = self.flow(spec)
         with self._lock:
             self._submitted.note(flow, spec.id, self._clock())
@@ -103,21 +105,21 @@
         if within_rate:
             return Verdict(None, conditions)
         text = "more submissions are admitted than can be written in a second"
-        retry_after_s = URGENT_PACED_RETRY_S if urgent else PACED_RETRY_S
+        retry_after_s = URGENT_RATE_LIMITED_RETRY_S if urgent else RATE_LIMITED_RETRY_S
         return Verdict(Reply(SERVICE_UNAVAILABLE, jobs.error(text), retry_after_s), conditions)
 
-    def written(self) -> None:
-        """The state service has written an acceptance."""
+    def on_written(self) -> None:
+        """Record that the state service has executed the transaction of an acceptance."""
         with self._lock:
             self._rate_limiter.written()
 
-    def write_refused(self) -> None:
-        """The state service has refused an acceptance."""
+    def on_write_refused(self) -> None:
+        """Record that the state service has refused the transaction of an acceptance."""
         with self._lock:
             self._rate_limiter.refused()
 
     def view(self) -> LevelView:
-        """The level and the controllers, as of one revision."""
+        """Returns the level and the live controllers, at one revision of the watch cache."""
         row, (members, stated_features) = self._watch_cache.read_together(
             records.ADMISSION, (records.MEMBERS, records.FEATURES)
         )
@@ -130,7 +132,7 @@
         return LevelView(level, 0 if row is None else row.version, lacking, len(members))
 
     def _decode(self, row: Row) -> Level | None:
-        """The level of the row, None if it can't be read. Each version is decoded once."""
+        """Returns the level stored in the row, None if it is unreadable. Each version is decoded once."""
         with self._lock:
             if self._decoded_version != row.version:
                 self._decoded = _decode_or_log(row)
@@ -138,12 +140,12 @@
             return self._decoded
 
     def submitted(self) -> Sample:
-        """The sample of the jobs submitted here lately, for the leader."""
+        """Returns a sample of the jobs recently submitted to this controller, for the leader."""
         with self._lock:
             return self._submitted.recent(self._clock())
 
     def refused(self) -> int:
-        """How many submissions the level has refused since the start."""
+        """Returns how many submissions the level has refused since this controller started."""
         with self._lock:
             return self._refused
 
--- a/bayford/coordination/api/cancellation_notices.py
+++ b/bayford/coordination/api/cancellation_notices.py
@@ -1,8 +1,9 @@
-"""Notices to the leader of cancellations that were confirmed at this controller.
+"""Notifies the leader of cancellations that this controller has confirmed.
 
-As a rule the leader learns of them from its watch cache. If the state service refuses the leader's reads, or
-all controllers' a moment later, it learns of them by these notices, before the bound on the age of its watch
-cache makes it stop answering.
+Normally the leader learns of a cancellation from its watch cache. If the state service refuses the leader's
+reads, or starts to refuse the reads of all controllers right after a cancellation, the leader learns of it
+from these notices. They arrive before the limit on the age of its watch cache makes the leader stop
+answering.
 """
 
 import logging
@@ -11,17 +12,17 @@
 
 log = logging.getLogger(__name__)
 
-CancellationTimes = dict[str, float]  # by job: the time of day of its cancellation
-Notify = Callable[[CancellationTimes], bool]  # True once the other controller has confirmed them
+CancellationTimes = dict[str, float]  # by job: wall-clock time of its cancellation, in seconds
+Notify = Callable[[CancellationTimes], bool]  # returns whether the other controller has confirmed them
 
-WAIT_S = 1.0
+WAIT_S = 1.0  # how long one step waits for a new notice
 RETRY_S = 0.3  # after an attempt that did not reach the leader
 
 
 class CancellationNotices:
     """The notices of one controller that the leader has not confirmed yet.
 
-    `add` may be called by any thread, `step` and `send` by one of their own.
+    `add` may be called by any thread, `step` and `send` only by the thread that sends the notices.
     """
 
     def __init__(
@@ -32,9 +33,10 @@
         cancel_s: float,
         wall: Callable[[], float],
     ) -> None:
-        """`name`: this controller. `notify`: how to reach each of the others, by name. `leader`: who leads,
-        empty if nobody does. `cancel_s`: a notice older than so many seconds is of no use and is dropped.
-        `wall`: the time of day."""
+        """`name`: this controller. `notify`: the function that sends notices to each other controller, by
+        name. `leader`: returns the name of the leader, empty if there is none. `cancel_s`: notices of
+        cancellations older than this, in seconds, are dropped as useless. `wall`: the wall clock, in
+        seconds."""
         self._name = name
         self.notify = dict(notify)
         self._leader = leader
@@ -45,21 +47,21 @@
         self._added = threading.Event()
 
     def add(self, job_id: str, cancelled_at: float) -> None:
-        """A cancellation was confirmed here."""
+        """Add a notice of a cancellation that this controller has confirmed."""
         with self._lock:
             self._pending[job_id] = cancelled_at
         self._added.set()
 
     def step(self) -> float:
-        """Wait a moment for a notice and send what there is; seconds until the next attempt."""
+        """Wait up to `WAIT_S` for a new notice, then send all. Returns the seconds until the next step."""
         self._added.wait(WAIT_S)
         self._added.clear()
         return 0.0 if self.send() else RETRY_S
 
     def send(self) -> bool:
-        """Try once to send all notices; whether none is left. The leader itself sends none."""
+        """Try once to send all notices. Returns whether none is left. On the leader, clears them unsent."""
         leader = self._leader()
-        pending = self._current()
+        pending = self._drop_expired()
         if not pending:
             return True
         notify = self.notify.get(leader)
@@ -74,8 +76,8 @@
                 self._pending.pop(job_id, None)
         return True
 
-    def _current(self) -> CancellationTimes:
-        """The notices that are still of use; the others are dropped."""
+    def _drop_expired(self) -> CancellationTimes:
+        """Drop the notices older than `cancel_s`. Returns the remaining ones."""
         wall = self._wall()
         with self._lock:
             self._pending = {
--- a/bayford/coordination/api/job_requests.py
+++ b/bayford/coordination/api/job_requests.py
@@ -1,7 +1,8 @@
-"""Submissions, queries and cancellations, answered by any controller.
+"""Answers users' submissions, queries and cancellations on any controller.
 
-Each is a transaction on the job's own record, or a read that was sent after the request came; so no
-controller contradicts what another has answered. What can't be known or written now is answered 503 at once.
+Each request is either a transaction on the job's own record or is answered from a read that was sent after
+the request arrived, so no controller contradicts an earlier answer of another one. If the key-value store
+can't be read or written now, the answer is 503 at once.
 """
 
 import logging
@@ -28,32 +29,32 @@
 )
 from bayford.storage.watch_cache import WatchCache
 
-if TYPE_CHECKING:  # with admission off its libraries are not imported
+if TYPE_CHECKING:  # the libraries that admission needs are not imported while admission is off
     from bayford.coordination.api.admission_gate import AdmissionGate
 
 log = logging.getLogger(__name__)
 
-NO_STATE = "the state service does not answer"
+STORE_UNAVAILABLE = "the state service does not answer"
 READ_TIMEOUT_S = 1.2  # users give up on a query after 2 s
-FINAL_RECORD_GROWTH = 64  # bytes that a record may grow by until it is final
-# Attempts against other writers of the same record.
+FINAL_RECORD_GROWTH = 64  # bytes that a record may grow by until the job has ended
+# Attempts of a compare-and-swap that fails because of concurrent writes of the same record.
 SUBMIT_ATTEMPTS = 3
 CANCEL_ATTEMPTS = 6
 NO_CONDITIONS: Mapping[str, int] = MappingProxyType({})
 
 
 class Deployment(Protocol):
-    """What is known of the deployment to judge a submission by. Called by any thread."""
+    """The facts about the deployment that submissions are validated against. Called by any thread."""
 
     def catalog(self) -> list[MachineType]:
-        """The machine types of the cloud; none before they are known."""
+        """Returns the machine types of the cloud, an empty list until they are known."""
 
     def team_quota(self, team: str) -> TeamQuota | None:
-        """The guarantee and limit of a team, None for an unknown one."""
+        """Returns the guarantee and limit of a team, None if the team is unknown."""
 
 
 class JobRequests:
-    """What users ask of one controller. Called by any thread; holds no lock and no state of its own."""
+    """Handles user requests at one controller. Called by any thread; has no lock and no mutable state."""
 
     def __init__(
         self,
@@ -65,8 +66,9 @@
         on_cancelled: Callable[[str, float], None],
         gate: "AdmissionGate | None" = None,
     ) -> None:
-        """`wall`: the time of day. `on_cancelled`: called with each job whose cancellation is confirmed here,
-        and when it was. Without a `gate` every valid submission is admitted."""
+        """`wall`: the wall clock, in seconds. `on_cancelled`: called with the id of each job whose
+        cancellation this controller has confirmed, and the wall-clock time of the cancellation. Without a
+        `gate` every valid submission is admitted."""
         self._gate = gate
         self._store = store
         self._watch_cache = watch_cache
@@ -76,39 +78,40 @@
         self._on_cancelled = on_cancelled
 
     def submit(self, body: bytes) -> Reply:
-        """Accept a job: durable before the answer. A job that is known already is answered as it stands."""
-        return self._or_unavailable(lambda: self._submit(body))
+        """Accept a job, durably before the answer. For an existing job id, answer the state of that job."""
+        return self._answer_or_unavailable(lambda: self._submit(body))
 
     def query(self, job_id: str) -> Reply:
-        """A job's state, never older than what any controller has answered before."""
-        return self._or_unavailable(lambda: self._query(job_id))
+        """Answer a job's state, never older than a state that any controller has answered before."""
+        return self._answer_or_unavailable(lambda: self._query(job_id))
 
     def cancel(self, job_id: str) -> Reply:
-        """Cancel a job: durable before the answer, and never once the job was answered as done."""
-        return self._or_unavailable(lambda: self._cancel(job_id))
+        """Cancel a job, durably before the answer. A job that was answered as done is never cancelled."""
+        return self._answer_or_unavailable(lambda: self._cancel(job_id))
 
     @staticmethod
-    def _or_unavailable(answer: Callable[[], Reply]) -> Reply:
+    def _answer_or_unavailable(answer: Callable[[], Reply]) -> Reply:
         try:
             return answer()
         except UnavailableError as error:
             return Reply(503, jobs.error(str(error)))
 
-    def _read(self) -> None:
-        """Bring the watch cache up to date by a read that is sent from now on.
+    def _refresh_cache(self) -> None:
+        """Bring the watch cache up to date with a read of the store that is sent after this call.
 
-        UnavailableError: there was no answer in time.
+        UnavailableError: the store did not answer within `READ_TIMEOUT_S`.
         """
         if not self._watch_cache.refresh(READ_TIMEOUT_S):
-            raise UnavailableError(NO_STATE)
+            raise UnavailableError(STORE_UNAVAILABLE)
 
     def _write(
         self, record: records.Record, version: int, conditions: Mapping[str, int] = NO_CONDITIONS
     ) -> bool:
-        """Write a user's change of a record that stands at `version`, 0: that does not exist.
+        """Write a user's change to a record by compare-and-swap; `version` 0: the record must not exist yet.
 
-        False if it has changed since, or if one of the `conditions` (versions of other keys) does not hold.
-        TooLargeError: it outgrows a value. UnavailableError: it was not written, or that is unknown.
+        Returns False if the record is no longer at `version`, or if one of the `conditions` (versions of
+        other keys) does not hold. TooLargeError: the record exceeds the size limit of a value.
+        UnavailableError: the record was not written, or the outcome is unknown.
         """
         key = records.key(record.spec.id)
         value = records.fitted(record, self._limits.value_bytes) if record.over else records.encode(record)
@@ -118,23 +121,26 @@
             log.error("job record too large: job=%s error=%s", record.spec.id, error)
             raise
         except UnavailableError as error:
-            raise UnavailableError(NO_STATE, error.refused) from error
+            raise UnavailableError(STORE_UNAVAILABLE, error.refused) from error
         except (OutcomeUnknownError, LeaseGoneError) as error:
-            raise UnavailableError(NO_STATE) from error
+            raise UnavailableError(STORE_UNAVAILABLE) from error
         if outcome.applied:
             self._watch_cache.apply([Row(key, value, outcome.revision)])
         return outcome.applied
 
     def _accept(self, record: records.Record, conditions: Mapping[str, int]) -> bool:
-        """Write a new job, and report to the gate whether the state service keeps up; see `_write`."""
+        """Write the record of a new job, and report to the gate whether the store accepted or refused it.
+
+        Returns and raises as `_write` does.
+        """
         try:
             applied = self._write(record, 0, conditions)
         except UnavailableError as error:
             if self._gate is not None and error.refused:
-                self._gate.write_refused()
+                self._gate.on_write_refused()
             raise
         if self._gate is not None:
-            self._gate.written()
+            self._gate.on_written()
         return applied
 
     def _submit(self, body: bytes) -> Reply:
@@ -149,8 +155,8 @@
         return Reply(503, jobs.error("try again"))
 
     def _submit_once(self, spec: JobSpec) -> Reply | None:
-        """One attempt; None if the record or the admission level has changed since it was read."""
-        self._read()
+        """Make one attempt. Returns None if the record or the admission level changed after it was read."""
+        self._refresh_cache()
         known = self._watch_cache.job_state(spec.id)
         if known is not None:
             return Reply(200, jobs.answer(known))
@@ -175,14 +181,17 @@
         return Reply(201, jobs.answer(records.State(record, 0))) if accepted else None
 
     def _without_unknown_types(self, spec: JobSpec) -> JobSpec:
-        """The job without machine types that the cloud does not have, so that no record outgrows a value."""
+        """Returns the job without machine types that the cloud does not have.
+
+        Dropping them keeps the record within the size limit of a value, however many the submission lists.
+        """
         if spec.types is None:
             return spec
         known_types = {machine_type.name for machine_type in self._deployment.catalog()}
         return msgspec.structs.replace(spec, types=sorted(known_types & set(spec.types)))
 
     def _refusal(self, spec: JobSpec) -> Reply | None:
-        """The answer to a job that this deployment can't accept, None if it can."""
+        """Returns the answer to a job that this deployment can't accept, None if it can accept the job."""
         types = self._deployment.catalog()
         if not types:
             return Reply(503, jobs.error("machine types are not known yet"))
@@ -195,15 +204,15 @@
         if not zones:
             return Reply(422, jobs.error("a task fits no allowed machine type"))
         if spec.shape != ARRAY and spec.spread and spec.tasks > 1 and (spec.one_zone or len(zones) < 2):
-            # An array's tasks may follow one another; those of a gang or a service run at the same time.
+            # The tasks of an array may run one after another, but those of a gang or a service run together.
             return Reply(422, jobs.error("its tasks can't be apart: there is one zone for them"))
         return None
 
     def _query(self, job_id: str) -> Reply:
         state = self._watch_cache.job_state(job_id) if self._watch_cache.has_job(job_id) else None
-        # Done and cancelled are final: the watch cache is enough for them.
+        # Done and cancelled are final states: for them the watch cache suffices, without a read of the store.
         if state is None or not state.record.over:
-            self._read()
+            self._refresh_cache()
             state = self._watch_cache.job_state(job_id)
         if state is None:
             return Reply(404, jobs.error("no such job"))
@@ -211,7 +220,7 @@
 
     def _cancel(self, job_id: str) -> Reply:
         for _ in range(CANCEL_ATTEMPTS):
-            self._read()
+            self._refresh_cache()
             state = self._watch_cache.job_state(job_id)
             if state is None:
                 return Reply(404, jobs.error("no such job"))
@@ -226,12 +235,12 @@
 
 
 def _too_large(size: int, max_size: int) -> Reply:
-    """`size`: bytes that the job's record may take until it is final."""
+    """Returns the answer to a job whose record may grow to `size` bytes until the job has ended."""
     return Reply(400, jobs.error(f"`$`: the job's description takes {size} bytes, more than {max_size}"))
 
 
 def _zones_that_fit(spec: JobSpec, types: list[MachineType]) -> set[str]:
-    """The zones in which a task of the job fits an allowed machine type."""
+    """Returns the zones that have an allowed machine type which a task of the job fits."""
     zones: set[str] = set()
     for machine_type in types:
         if (spec.types is None or machine_type.name in spec.types) and machine_type.fits(spec):
--- a/bayford/coordination/api/responses.py
+++ b/bayford/coordination/api/responses.py
@@ -1,12 +1,12 @@
-"""The answer to a request of a user or a worker, before the transport adds headers."""
+"""The response to a request of a user or a worker, before the transport adds headers."""
 
 from typing import NamedTuple
 
-RETRY_AFTER_S = 1  # with a 503 whose `Reply` gives no time of its own
+RETRY_AFTER_S = 1  # Retry-After of a 503 whose `Reply` has no `retry_after_s`
 
 
 class Reply(NamedTuple):
-    """An HTTP status and a JSON body. `retry_after_s`: when to try again, in seconds, 0 if not stated."""
+    """An HTTP status and a JSON body. `retry_after_s`: seconds until the client may retry, 0 if not set."""
 
     status: int
     body: bytes
--- a/bayford/coordination/workers/__init__.py
+++ b/bayford/coordination/workers/__init__.py
@@ -1,4 +1,4 @@
-"""What workers are answered by a controller that does not lead: the relay to the leader.
+"""Answers workers' heartbeats on every controller, and relays heartbeats to the leader.
 
-Owns the heartbeats that wait to be passed on, and the relay's keys in the key-value store.
+Owns the heartbeats that wait to be relayed, and the relay's keys in the key-value store.
 """
--- a/bayford/coordination/workers/heartbeat_service.py
+++ b/bayford/coordination/workers/heartbeat_service.py
@@ -1,4 +1,4 @@
-"""Answers the heartbeats of workers: as the leader, as a relay, or with a redirect to the leader."""
+"""Answers workers' heartbeats: as the leader, as a relay, or with a redirect to the leader."""
 
 import threading
 from collections.abc import Callable
@@ -21,14 +21,14 @@
 from bayford.protocol import jobs, workers
 from bayford.storage.watch_cache import WatchCache
 
-RECOVERY_WAIT_S = 2.0  # how long a heartbeat waits for a new leader to have recovered
-RECORD_READ_S = 0.5  # how long it waits for the read of a newer leadership record
-RELAY_READ_S = 1.5  # how long a relayed heartbeat waits for a read of the task log
-FIRST_SEQUENCES = 2  # the first heartbeats of a worker may have such sequence numbers
+RECOVERY_WAIT_S = 2.0  # how long a heartbeat waits until a new leader has recovered its state
+RECORD_READ_TIMEOUT_S = 0.5  # how long a heartbeat waits for a read of a newer leadership record
+RELAY_READ_TIMEOUT_S = 1.5  # how long a relayed heartbeat waits for a read of the task log
+MAX_FIRST_SEQUENCE = 2  # highest sequence number that the first heartbeats of a worker may have
 
 
 class HeartbeatService(LeaderListener):
-    """Called by the threads of the workers' connections, many at a time."""
+    """Answers heartbeats. Called concurrently by the threads that serve the workers' connections."""
 
     def __init__(
         self,
@@ -56,16 +56,16 @@
         self._signals = signals
         self._clock = clock
         self._pause = pause
-        # By machine: wakes the thread that holds its heartbeat until there are commands for it.
-        self._ready: dict[int, threading.Event] = {}
-        # Machines whose heartbeats wait for a read before the response may carry their starts.
+        # By machine: wakes the thread that holds the machine's heartbeat until there are commands for it.
+        self._commands_ready: dict[int, threading.Event] = {}
+        # Machines whose responses contain starts and wait for a read that verifies leadership.
         self._awaiting_read: set[int] = set()
 
-    # -- events of the leader's state, and of reads ------------------------------------------------------
+    # -- events of the leader's state, and of its verification ----------------------------------------------
 
     def on_commands_ready(self, machine: int) -> None:
         """See `LeaderListener`."""
-        event = self._ready.get(machine)
+        event = self._commands_ready.get(machine)
         if event is not None:
             event.set()
 
@@ -75,10 +75,10 @@
 
     def on_machine_deleted(self, machine: int) -> None:
         """See `LeaderListener`."""
-        self._ready.pop(machine, None)
+        self._commands_ready.pop(machine, None)
 
     def on_leadership_verified(self) -> None:
-        """A read has verified leadership: heartbeats that waited for it may get their starts."""
+        """Wake the heartbeats whose responses contain starts and waited for a read to verify leadership."""
         waiting, self._awaiting_read = self._awaiting_read, set()
         for machine in waiting:
             self.on_commands_ready(machine)
@@ -88,13 +88,15 @@
     def answer(self, heartbeat: workers.Heartbeat, after: float, hold: bool = True) -> Reply:
         """Answer a worker's heartbeat.
 
-        `after`: steady clock, a moment before which it was certainly not sent. `hold`: the response may be
-        held for a moment until there is work to put into it.
+        `after`: time of the steady clock at or after which the worker certainly sent it. `hold`: whether the
+        response may be held back until there are commands to put into it, for the time that the policy
+        allows.
         """
         arrived_at = self._clock()
         if self._connectivity.is_isolated():
-            # The worker still reaches this controller, which can neither read nor write, and another has
-            # taken over or is about to: let the worker find that one while its lease lasts.
+            # The worker still reaches this controller, which can neither read nor write the store, and
+            # another controller has taken over as leader or is about to. With this error the worker looks for
+            # that one while its lease is still valid.
             return Reply(503, jobs.error("cut off from the state service and the other controllers"))
         if not self._knows_newest_leader(heartbeat):
             return Reply(503, jobs.error("a newer leadership record exists"))
@@ -109,29 +111,36 @@
         return self._answer_as_relay(heartbeat)
 
     def _knows_newest_leader(self, heartbeat: workers.Heartbeat) -> bool:
-        """Whether the worker has seen no higher fencing token than this controller, after a read if need be.
-        Until the record of a higher token has been read, nothing is said to workers."""
+        """Returns whether this controller knows the worker's fencing token or a higher one.
+
+        If not, it reads the leadership record first. Until it has read the record with the higher token,
+        workers get neither commands nor redirects.
+        """
         if heartbeat.fencing_token <= self._membership.record.fencing_token:
             return True
         self._membership.observe_token(heartbeat.fencing_token)
-        self._watch_cache.refresh(RECORD_READ_S)
+        self._watch_cache.refresh(RECORD_READ_TIMEOUT_S)
         return heartbeat.fencing_token <= self._membership.record.fencing_token
 
     def _redirect_target(self, heartbeat: workers.Heartbeat, record: LeadershipRecord) -> str | None:
-        """The controller that the worker is sent to; None if this one answers it on the leader's behalf."""
+        """Returns the controller to redirect the worker to, None if this one answers as the relay."""
         if self._relay.stale(heartbeat):
             return record.leader
         leader_unreachable = record.leader in self._peers.unreachable
-        # A later heartbeat with the current fencing token comes from a worker that the leader has answered.
-        left_leader = heartbeat.fencing_token == record.fencing_token and heartbeat.sequence > FIRST_SEQUENCES
-        if not self._relay.should_answer(heartbeat.machine, leader_unreachable, left_leader):
+        # A heartbeat with the current fencing token and a higher sequence number than a worker's first ones
+        # comes from a worker that the leader has answered before.
+        has_lost_leader = (
+            heartbeat.fencing_token == record.fencing_token and heartbeat.sequence > MAX_FIRST_SEQUENCE
+        )
+        if not self._relay.should_answer(heartbeat.machine, leader_unreachable, has_lost_leader):
             return record.leader
         if not self._connectivity.store_reachable():
-            # This controller could neither pass the heartbeat on nor know the commands, and the leader would
-            # take the machine for silent: another controller in reach can do both.
-            able = [name for name in self._peers.served() if name != record.leader]
-            if able:
-                return able[0]
+            # Without the store this controller can neither pass the heartbeat on nor read the commands, and
+            # the leader would treat the machine as unresponsive. Redirect to a reachable controller that has
+            # the store.
+            candidates = [name for name in self._peers.served() if name != record.leader]
+            if candidates:
+                return candidates[0]
         return None
 
     def _answer_as_leader(
@@ -146,7 +155,7 @@
         index = scheduler.on_heartbeat(heartbeat, after)
         if index is None:
             return Reply(200, workers.encode_response(record.fencing_token, []))
-        event = self._ready[index] = threading.Event()
+        event = self._commands_ready[index] = threading.Event()
         self._signals.round.set()
         if scheduler.has_pending_writes():
             self._signals.commit.set()
@@ -161,7 +170,7 @@
         return Reply(200, workers.encode_response(record.fencing_token, commands))
 
     def _has_recovered(self, record: LeadershipRecord) -> bool:
-        """Whether the scheduler has recovered for this leadership record; waits a moment for it."""
+        """Returns whether the scheduler has recovered for this record, waiting up to `RECOVERY_WAIT_S`."""
         scheduler = self._scheduler
         recovered = self._leadership.recovered
         if not scheduler.complete or scheduler.term != record.version:
@@ -171,8 +180,10 @@
     def _await_commands(
         self, index: int, event: threading.Event, arrived_at: float, hold: bool
     ) -> list[workers.Command]:
-        """The commands for a machine, as soon as there are any, or after its heartbeat was held long enough.
-        Starts wait for a read that was sent after the heartbeat arrived."""
+        """Returns the commands for a machine as soon as there are any, or without any after the hold time.
+
+        Starts are held back until a read that was sent after the heartbeat arrived has verified leadership.
+        """
         hold_s = self._scheduler.hold_s(index) if hold else 0.0
         while True:
             event.clear()
@@ -191,14 +202,14 @@
 
     def _answer_as_relay(self, heartbeat: workers.Heartbeat) -> Reply:
         self._relay.note(heartbeat)
-        fresh = self._watch_cache.refresh(RELAY_READ_S)
-        # Read before the commands are: they must not go out under the token of a later leader.
+        is_refreshed = self._watch_cache.refresh(RELAY_READ_TIMEOUT_S)
+        # The token is read before the commands, so that they are never sent with the token of a later leader.
         fencing_token = self._membership.record.fencing_token
-        if fresh:
+        if is_refreshed:
             return Reply(200, workers.encode_response(fencing_token, self._relay.commands(heartbeat)))
-        # The state service is out or refuses this controller. The fencing token known here may be old, but
-        # then the worker has seen a higher one and drops this response. Without a fresh view nothing starts;
-        # a cancellation is final on any view, so cancelled tasks stop.
+        # The state service is unavailable or refuses this controller. If the fencing token known here is
+        # outdated, a worker that has seen a higher one drops this response. A stale view is not sufficient to
+        # start tasks. It is sufficient to stop cancelled ones, because a cancellation is final.
         if self._clock() - self._watch_cache.as_of > self._scheduler.staleness_limit():
             return Reply(503, jobs.error("no view of the state"))
         return Reply(200, workers.encode_response(fencing_token, self._relay.stop_commands(heartbeat)))
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -1,10 +1,10 @@
-"""Answers workers that can't reach the leader, on its behalf.
+"""Answers workers that can't reach the leader, on the leader's behalf.
 
-In a cut between zones, or when the leader alone is cut off, a worker that the leader can't answer sends its
-heartbeats to another controller, the relay. The relay keeps the worker's lease alive with the current fencing
-token, passes the heartbeats to the leader through the store, and answers with what the task log says: the
-placements on the machine are its commands, since they were committed before any start went out. It decides
-nothing by itself.
+During a network partition between zones, or if only the leader is partitioned, a worker that the leader can't
+answer sends its heartbeats to another controller, the relay. The relay renews the worker's lease with the
+current fencing token, passes the heartbeats to the leader through the key-value store, and derives the
+commands from the task log: a placement on the machine is committed there before the start is sent, so the
+placements are the commands. The relay makes no scheduling decisions.
 """
 
 import logging
@@ -21,27 +21,27 @@
 
 log = logging.getLogger(__name__)
 
-RELAY_S = 30.0  # how long a worker that could not reach the leader is answered here
-FIRST_RELAY_S = 10.0  # the same for a worker that has just lost the leader, which then tries it again
-# A worker that is back so soon after it was redirected could not reach the leader. It takes 1 s at least.
+RELAY_DURATION_S = 30.0  # how long this controller answers a worker that could not reach the leader
+FIRST_RELAY_DURATION_S = 10.0  # same for one that has just lost the leader, which it then tries again
+# A worker that returns in this range after a redirect could not reach the leader. That takes it 1 s or more.
 MIN_RETURN_S, MAX_RETURN_S = 0.5, 20.0
-RELAY_AGAIN_S = 60.0  # after a relay has ended, before losing the leader alone starts another
-MAX_AGE_S = 15.0  # of a relay's rows, for the leader to take heartbeats from them
-KEPT_S = 8.0  # how long a heartbeat is passed on
-CHANGED_PERIOD_S, UNCHANGED_PERIOD_S = 0.7, 4.0  # how often heartbeats are passed on
-MAX_PERIOD_S = 8.0  # however many values that takes: the leader has to learn of a machine within its lease
-MAX_REMEMBERED = 32_768  # machines, and cancelled jobs
-ENVELOPE_BYTES = 64  # of a value: what surrounds the packed heartbeats
+RELAY_COOLDOWN_S = 60.0  # minimum time from the end of a relay until loss of the leader alone starts another
+MAX_ROW_AGE_S = 15.0  # maximum age of a relay's rows for the leader to read heartbeats from them
+HEARTBEAT_RETENTION_S = 8.0  # how long a received heartbeat is included in publications
+CHANGED_PERIOD_S, UNCHANGED_PERIOD_S = 0.7, 4.0  # publishing period with and without changed heartbeats
+MAX_PERIOD_S = 8.0  # for any number of values: the leader must receive a machine's heartbeat within its lease
+MAX_REMEMBERED_ENTRIES = 32_768  # limit on remembered machines, and on remembered cancelled jobs
+ENVELOPE_BYTES = 64  # part of a value's size limit that is left for the fields around the packed heartbeats
 
 
 @dataclass(frozen=True, slots=True)
-class _KeptHeartbeat:
+class _ReceivedHeartbeat:
     received_at: float  # steady clock
     heartbeat: workers.Heartbeat
 
 
 class Relay:
-    """The machines that this controller answers on the leader's behalf."""
+    """Tracks and answers the machines that this controller relays."""
 
     def __init__(
         self,
@@ -56,36 +56,36 @@
         self._limits = limits
         self._clock = clock
         self._wall = wall
-        self._lock = threading.Lock()  # guards all that follows, but for `_key_count`
-        self._latest: dict[str, tuple[int, int]] = {}  # by machine: epoch and sequence last seen here
-        self._redirected_at: dict[str, float] = {}  # by machine
-        self._relayed_until: dict[str, float] = {}  # by machine
-        self._heartbeats: dict[str, _KeptHeartbeat] = {}  # by machine: the newest
-        self._changed = False  # something is to be passed on soon
+        self._lock = threading.Lock()  # guards all fields below except `_key_count`
+        self._latest: dict[str, tuple[int, int]] = {}  # by machine: highest epoch and sequence received here
+        self._redirected_at: dict[str, float] = {}  # by machine, steady clock
+        self._relayed_until: dict[str, float] = {}  # by machine, steady clock
+        self._heartbeats: dict[str, _ReceivedHeartbeat] = {}  # by machine: the newest one
+        self._changed = False  # whether to publish after the period for changed heartbeats
         self._published_at = NEVER
-        self._key_count = 0  # keys that the heartbeats took last; used by the publishing thread alone
+        self._key_count = 0  # number of keys last published; used only by the publishing thread
         self._known_cancelled: set[str] = set()
 
     def stale(self, heartbeat: workers.Heartbeat) -> bool:
-        """Whether this is a late copy: the machine was here with a newer heartbeat, or with this one.
+        """Returns whether this or a newer heartbeat of the machine was seen here before; if not, records it.
 
-        Copies must move no machine between leader and relay, and are no news to pass on.
+        A late copy must not move a machine between the leader and the relay, and is not passed on.
         """
         order = (heartbeat.epoch, heartbeat.sequence)
         with self._lock:
-            if len(self._latest) > MAX_REMEMBERED:
+            if len(self._latest) > MAX_REMEMBERED_ENTRIES:
                 self._latest.clear()
             if order <= self._latest.get(heartbeat.machine, (-1, -1)):
                 return True
             self._latest[heartbeat.machine] = order
             return False
 
-    def should_answer(self, machine: str, leader_unreachable: bool, left_leader: bool) -> bool:
-        """Whether to answer this machine here. If not, it is about to be sent to the leader: remember that.
+    def should_answer(self, machine: str, leader_unreachable: bool, has_lost_leader: bool) -> bool:
+        """Returns whether to answer this machine here. If not, records that it is redirected to the leader.
 
-        A machine that comes back soon after it was sent to the leader could not reach it. One that has the
-        leader's token already and turns up here has just lost it (`left_leader`): with a short lease there is
-        no time to send it back first and see.
+        A machine that returns soon after a redirect could not reach the leader. A machine that already has
+        the leader's token and sends its heartbeat here has just lost the leader (`has_lost_leader`). It is
+        relayed at once, because a short lease leaves no time for a redirect to the leader first.
         """
         now = self._clock()
         with self._lock:
@@ -94,21 +94,21 @@
                 return True
             redirected_at = self._redirected_at.pop(machine, None)
             if redirected_at is not None and MIN_RETURN_S < now - redirected_at < MAX_RETURN_S:
-                self._relayed_until[machine] = now + RELAY_S
+                self._relayed_until[machine] = now + RELAY_DURATION_S
                 return True
-            if leader_unreachable or (left_leader and now - until > RELAY_AGAIN_S):
-                self._relayed_until[machine] = now + FIRST_RELAY_S
+            if leader_unreachable or (has_lost_leader and now - until > RELAY_COOLDOWN_S):
+                self._relayed_until[machine] = now + FIRST_RELAY_DURATION_S
                 return True
             self._redirected_at[machine] = now
-            if len(self._redirected_at) > MAX_REMEMBERED:
+            if len(self._redirected_at) > MAX_REMEMBERED_ENTRIES:
                 self._redirected_at = {m: t for m, t in self._redirected_at.items() if now - t < MAX_RETURN_S}
                 self._relayed_until = {
-                    m: t for m, t in self._relayed_until.items() if now - t < RELAY_AGAIN_S
+                    m: t for m, t in self._relayed_until.items() if now - t < RELAY_COOLDOWN_S
                 }
             return False
 
     def note(self, heartbeat: workers.Heartbeat) -> None:
-        """Keep a relayed machine's newest heartbeat for the leader."""
+        """Store the heartbeat of a relayed machine for the leader, unless a newer one is stored."""
         with self._lock:
             kept = self._heartbeats.get(heartbeat.machine)
             if kept is not None:
@@ -119,11 +119,13 @@
                     self._changed = True
             else:
                 self._changed = True
-            self._heartbeats[heartbeat.machine] = _KeptHeartbeat(self._clock(), heartbeat)
+            self._heartbeats[heartbeat.machine] = _ReceivedHeartbeat(self._clock(), heartbeat)
 
     def commands(self, heartbeat: workers.Heartbeat) -> list[workers.Command]:
-        """What the records say about this machine. The watch cache must have been read since the heartbeat
-        arrived."""
+        """Returns the commands for this machine that follow from the task log.
+
+        The watch cache must have been refreshed after the heartbeat arrived.
+        """
         reported = {(task.task_id, task.attempt): task for task in heartbeat.tasks}
         commands: list[workers.Command] = []
         placed: set[tuple[str, int]] = set()
@@ -144,15 +146,17 @@
         return commands
 
     def on_cancelled(self, jobs: Iterable[str]) -> None:
-        """Another controller has confirmed the cancellation of these; the watch cache may not know it yet."""
+        """Record cancellations confirmed by another controller; the watch cache may not have them yet."""
         with self._lock:
-            if len(self._known_cancelled) > MAX_REMEMBERED:
-                self._known_cancelled.clear()  # only early notice: the watch cache learns of them anyway
+            if len(self._known_cancelled) > MAX_REMEMBERED_ENTRIES:
+                self._known_cancelled.clear()  # the watch cache gets these cancellations too, only later
             self._known_cancelled.update(jobs)
 
     def stop_commands(self, heartbeat: workers.Heartbeat) -> list[workers.Command]:
-        """Stops for the tasks of cancelled jobs on this machine, as far as is known here, however old the
-        view of the store: a cancellation is final."""
+        """Returns stops for the tasks on this machine whose jobs are known here to be cancelled.
+
+        Valid for any age of the watch cache, because a cancellation is final.
+        """
         with self._lock:
             known_cancelled = set(self._known_cancelled)
         commands: list[workers.Command] = []
@@ -164,11 +168,13 @@
         return commands
 
     def publish(self) -> list[Put]:
-        """The writes that pass the heartbeats on, none if that is not due. Called by one thread."""
+        """Returns the writes that pass heartbeats to the leader, none if not due. Called by one thread."""
         now = self._clock()
         with self._lock:
             self._heartbeats = {
-                machine: kept for machine, kept in self._heartbeats.items() if now - kept.received_at < KEPT_S
+                machine: kept
+                for machine, kept in self._heartbeats.items()
+                if now - kept.received_at < HEARTBEAT_RETENTION_S
             }
             if not self._heartbeats and not self._key_count:
                 return []
@@ -185,14 +191,14 @@
         return puts
 
     def _period_s(self) -> float:
-        """From one publication to the next. A relay of many machines needs more changes, so it writes less
-        often."""
+        """Returns the time between publications. A relay of many machines needs more writes for each
+        publication, so it publishes less often."""
         if not self._changed:
             return UNCHANGED_PERIOD_S
         return min(MAX_PERIOD_S, CHANGED_PERIOD_S * max(1, self._key_count))
 
-    def not_published(self) -> None:
-        """The writes were refused, or their outcome is unknown: publish again soon."""
+    def on_publish_failed(self) -> None:
+        """Schedule an early publication, because the last writes were refused or their outcome is unknown."""
         with self._lock:
             self._changed = True
 
@@ -201,13 +207,13 @@
 
 
 def heartbeats_in(row: Row, wall: float) -> tuple[str, list[workers.Heartbeat]]:
-    """The relay's name and the heartbeats in one of its rows, none if they are old.
+    """Returns the relay's name and the heartbeats in one of its rows, none if the row is old or unreadable.
 
-    A relay that ends leaves its rows behind. A new leader that took them for current would place work on
-    machines that are long gone. `wall`: the time of day, in seconds.
+    The rows of a relay that has stopped stay in the store. A new leader that treated them as current would
+    place tasks on machines that no longer exist. `wall`: wall-clock time, in seconds.
     """
     name = row.key[len(records.RELAYS) :].partition("/")[0]
-    if row.value is None or wall - row.value["at"] > MAX_AGE_S:
+    if row.value is None or wall - row.value["at"] > MAX_ROW_AGE_S:
         return name, []
     try:
         return name, mesh.unpack_heartbeats(row.value["reports"])
--- a/bayford/coordination/workers/relay_publisher.py
+++ b/bayford/coordination/workers/relay_publisher.py
@@ -1,4 +1,4 @@
-"""Writes the heartbeats that this controller relays to the key-value store, for the leader."""
+"""Writes the heartbeats that this controller relays for the leader to the key-value store."""
 
 from collections.abc import Callable
 
@@ -8,13 +8,15 @@
 from bayford.coordination.workers.relay import Relay
 from bayford.storage.key_value_store import KeyValueStore, OutcomeUnknownError, Put, UnavailableError
 
-RATE_SHARE = 0.5  # of the changes a second: what a relay may take of them,
-BURST_SHARE = 0.9  # and at once, of those of one second
+RATE_SHARE = 0.5  # share of the store's writes per second that a relay may use
+BURST_SHARE = 0.9  # maximum burst of a relay, as a share of the store's writes in one second
 
 
 class RelayPublisher:
-    """Run by the membership thread. A relay of thousands of machines has more to pass on than the state
-    service takes in a second, so it has a rate of its own."""
+    """Publishes relayed heartbeats at a limited rate. Called only by the membership thread.
+
+    A relay of thousands of machines has more rows to write than the state service accepts in a second.
+    """
 
     def __init__(
         self, relay: Relay, store: KeyValueStore, limits: StoreLimits, clock: Callable[[], float]
@@ -26,7 +28,11 @@
         self._pending: list[Put] = []
 
     def publish(self) -> None:
-        """Write as much as the rate allows now."""
+        """Write as many of the pending rows as the rate allows now.
+
+        UnavailableError, OutcomeUnknownError: a write failed; the pending rows are dropped and published
+        anew.
+        """
         if not self._pending:
             self._pending = self._relay.publish()
         try:
@@ -37,5 +43,5 @@
                 write_each(self._store, self._limits, chunk)
         except (UnavailableError, OutcomeUnknownError):
             self._pending = []
-            self._relay.not_published()
+            self._relay.on_publish_failed()
             raise
--- a/bayford/coordination/workers/stop_commands.py
+++ b/bayford/coordination/workers/stop_commands.py
@@ -1,4 +1,4 @@
-"""Stops tasks by direct commands to their machines, without waiting for the next heartbeat."""
+"""Sends stop commands directly to machines, without waiting for their next heartbeats."""
 
 import queue
 from collections.abc import Callable
@@ -9,14 +9,14 @@
 from bayford.coordination.signals import Signals
 from bayford.protocol import workers
 
-QUEUE_SIZE = 16_384  # machines with tasks to stop; the response to the next heartbeat carries what is over
+QUEUE_SIZE = 16_384  # machines; those beyond it get the command in the response to their next heartbeat
 SENDER_THREADS = 3
 
-SendCommand = Callable[[str, bytes], bytes | None]  # address and body; the worker's heartbeat, or no answer
+SendCommand = Callable[[str, bytes], bytes | None]  # address and body to heartbeat, None: no answer
 
 
 class StopCommands(LeaderListener):
-    """The machines to which stop commands have to be sent. `step` runs in several threads."""
+    """A queue of the machines to send stop commands to. `step` is called by several threads."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
 
     @property
     def pending(self) -> bool:
-        """Whether any machine waits for a command."""
+        """Returns whether any machine is queued."""
         return not self._machines.empty()
 
     def on_stop_requested(self, machine: int) -> None:
@@ -43,23 +43,25 @@
         try:
             self._machines.put_nowait(machine)
         except queue.Full:
-            pass  # the response to the machine's next heartbeat carries the command as well
+            pass  # the response to the machine's next heartbeat contains the command as well
 
     def step(self) -> float:
-        """Send the next machine its stop commands."""
+        """Wait for the next queued machine and send it its stop commands."""
         index = self._machines.get()
         record = self._membership.record
-        # A controller that may not lead any more has nothing to stop, since the fencing token is another
-        # leader's. Except for tasks of cancelled jobs: a cancellation is final on any view.
-        leads = record.version == self._scheduler.term and self._is_verified_leader()
-        found = self._scheduler.stop_commands_for(index, cancelled_alone=not leads)
-        if found is None:
+        # A controller that may have lost leadership must not stop tasks, because the fencing token may belong
+        # to another leader. Tasks of cancelled jobs are the exception: a cancellation is final, even in a
+        # stale view.
+        is_leader = record.version == self._scheduler.term and self._is_verified_leader()
+        target = self._scheduler.stop_commands_for(index, cancelled_alone=not is_leader)
+        if target is None:
             return 0.0
-        address, epoch, commands = found
+        address, epoch, commands = target
         body = self.send(address, workers.encode_stop_commands(record.fencing_token, epoch, commands))
         if body is not None:
-            # The worker's state as of now. It settles no response that is still on its way, so `after`,
-            # which closes placements that have not started, is not claimed.
+            # The answer has the worker's current state, but a response with start commands may still be in
+            # flight to the worker. So `after`, which would close placements that have not started, is not
+            # passed.
             self._scheduler.on_heartbeat(workers.parse_heartbeat(body), asked=True)
             self._signals.round.set()
         return 0.0
--- a/bayford/transport/__init__.py
+++ b/bayford/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP servers and clients: threads, blocking sockets, timeouts everywhere."""
+"""HTTP servers and clients, based on threads and blocking sockets, with a timeout on every wait."""
--- a/bayford/transport/http_client.py
+++ b/bayford/transport/http_client.py
@@ -1,4 +1,4 @@
-"""Pooled HTTP clients on `http.client`, blocking, with a timeout on every call."""
+"""A blocking HTTP client with a connection pool, based on `http.client`, with a timeout on every call."""
 
 import http.client
 import socket
@@ -8,30 +8,31 @@
 
 from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
 
-MAX_IDLE_S = 20.0  # an idle connection is not used again after this
+MAX_IDLE_S = 20.0  # a connection that was idle for longer is not reused
 
 
 class _IdleConnection(NamedTuple):
-    since: float
+    idle_since: float
     connection: http.client.HTTPConnection
 
 
 class HttpClient:
-    """Keep-alive connections to one address. Called by any thread; each call has a connection of its own."""
+    """Pools keep-alive connections to one address. Called by any thread; concurrent calls share none."""
 
     def __init__(self, host: str, port: int, max_idle: int = 8, connect_s: float = 1.0) -> None:
-        """`max_idle`: connections that are kept for later calls. `connect_s`: the time limit of a connect."""
+        """`max_idle`: maximum number of idle connections kept for reuse. `connect_s`: connect timeout."""
         self._host = host
         self._port = port
         self._max_idle = max_idle
         self._connect_s = connect_s
         self._lock = threading.Lock()  # guards `_idle`
-        self._idle: list[_IdleConnection] = []  # the one used last at the end
+        self._idle: list[_IdleConnection] = []  # the most recently used one is last
 
     def call(self, method: str, path: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
-        """Send and wait; the status and the body of the response. `timeout_s`: for each wait on the socket.
+        """Send a request and wait. Returns the status and the body of the response.
 
-        UnavailableError: nothing was sent. OutcomeUnknownError: it may be executed, now or later.
+        `timeout_s`: timeout of each socket operation. UnavailableError: nothing was sent.
+        OutcomeUnknownError: the server may execute the request, now or later.
         """
         connection = self._take_idle() or self._connect()
         try:
@@ -47,7 +48,7 @@
         if response.will_close:
             connection.close()
         else:
-            self._keep(connection)
+            self._keep_idle(connection)
         return response.status, data
 
     def _connect(self) -> http.client.HTTPConnection:
@@ -64,12 +65,12 @@
         with self._lock:
             while self._idle:
                 idle = self._idle.pop()
-                if time.monotonic() - idle.since < MAX_IDLE_S:
+                if time.monotonic() - idle.idle_since < MAX_IDLE_S:
                     return idle.connection
                 idle.connection.close()
         return None
 
-    def _keep(self, connection: http.client.HTTPConnection) -> None:
+    def _keep_idle(self, connection: http.client.HTTPConnection) -> None:
         with self._lock:
             if len(self._idle) < self._max_idle:
                 self._idle.append(_IdleConnection(time.monotonic(), connection))
--- a/bayford/transport/http_server.py
+++ b/bayford/transport/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP servers on `http.server`: a thread per connection, bounded, with timeouts everywhere."""
+"""An HTTP server based on `http.server`: one thread per connection, bounded, with a timeout on every wait."""
 
 import logging
 import socket
@@ -13,13 +13,13 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_S = 40.0  # how long a connection waits for a request, unless its last response says otherwise
-REQUEST_S = 5.0  # time limit of each read of a request that has begun, and of sending a response
+IDLE_S = 40.0  # how long a connection waits for a request, unless its last response sets `idle_s`
+REQUEST_S = 5.0  # timeout of each read after the first line of a request, and of sending a response
 MAX_BODY = 64 * 1024  # bytes
 MAX_LINE = 8 * 1024  # bytes
 MAX_HEADERS = 64
 MAX_CHUNK_SIZE_LINE = 64  # bytes
-BACKLOG = 4096  # connections that wait to be accepted: a whole fleet, right after a failover
+BACKLOG = 4096  # connections that wait to be accepted; after a failover, all workers connect at once
 ACCEPT_RETRY_S = 0.05
 
 REASONS = {
@@ -44,31 +44,31 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request."""
+    """An HTTP request."""
 
     method: str
-    path: str  # with the query
+    path: str  # including the query string
     body: bytes
-    after: float  # it was sent after this moment of the steady clock: that of the response before it
-    headers: dict[str, str] = field(default_factory=dict)  # names in lower case
-    crowded: bool = False  # whether most connections that the server may have are taken
+    after: float  # steady clock, time of the previous response; the request was certainly sent later
+    headers: dict[str, str] = field(default_factory=dict)  # names are in lower case
+    is_near_connection_limit: bool = False  # see `HttpServer.is_near_connection_limit`
 
 
 @dataclass(slots=True)
 class Response:
-    """The answer to a request."""
+    """The response to a request."""
 
     status: int
     body: bytes  # JSON
-    headers: tuple[tuple[str, str], ...] = ()  # beside those of every response
-    idle_s: float = IDLE_S  # how long the connection is then kept for the next request, 0: not at all
+    headers: tuple[tuple[str, str], ...] = ()  # in addition to those of every response
+    idle_s: float = IDLE_S  # how long the connection then waits for the next request; 0: it is closed
 
 
 Handle = Callable[[Request], Response]
 
 
 class HttpError(Exception):
-    """A request that can't be read: answered with this status and text, and its connection is closed."""
+    """A malformed request. It is answered with this status and text, and the connection is closed."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -76,14 +76,15 @@
 
 
 class Connection(BaseHTTPRequestHandler):
-    """One connection, served by a thread of its own.
+    """One connection, served by its own thread.
 
-    `http.server`'s own header parser (the e-mail package's) takes several times as long as everything else
-    here, and a controller has a fraction of a core, so the lines are read here.
+    Request lines and headers are parsed here, because the header parser of `http.server` (that of the `email`
+    package) takes several times as long as everything else in this class, and a controller has only a
+    fraction of a core.
     """
 
     protocol_version = "HTTP/1.1"
-    server: "HttpServer"  # type: ignore[assignment]  # in place of the base class's `BaseServer`
+    server: "HttpServer"  # type: ignore[assignment]  # narrows the `BaseServer` of the base class
     disable_nagle_algorithm = True
     timeout = IDLE_S
 
@@ -98,7 +99,7 @@
                 request = self._read_request(after)
                 if request is None:
                     return
-                request.crowded = self.server.crowded
+                request.is_near_connection_limit = self.server.is_near_connection_limit
                 response = self.server.handle(request)
                 idle_s = response.idle_s
                 if not idle_s:
@@ -109,19 +110,19 @@
             body = b'{"error":"' + str(error).encode() + b'"}'
             self._send(Response(error.status, body))
         except (OSError, ValueError):
-            return  # the peer is gone or too slow, or the file of the connection is closed
+            return  # the peer has disconnected or timed out, or the connection's file is closed
 
     def finish(self) -> None:
-        """Close, also if the peer is gone."""
+        """Close the connection, ignoring errors if the peer has disconnected."""
         with suppress(OSError):
             super().finish()
 
     def _read_request(self, after: float) -> Request | None:
-        """The next request, None once the peer has closed the connection. HttpError: it can't be read."""
+        """Returns the next request, None if the peer closed the connection. HttpError: it is malformed."""
         line = self.rfile.readline(MAX_LINE + 1)
         if not line:
             return None
-        # Once a request has begun, the rest of it must not take longer than `REQUEST_S` a read.
+        # After the first line of a request, each further read must finish within `REQUEST_S`.
         self.connection.settimeout(REQUEST_S)
         words = line.split()
         if len(line) > MAX_LINE:
@@ -137,7 +138,7 @@
         return Request(words[0].decode("latin-1"), words[1].decode("latin-1"), body, after, headers)
 
     def _read_headers(self) -> dict[str, str] | None:
-        """Headers by name in lower case, None if the peer closes before their end."""
+        """Returns the headers by lower-case name, None if the peer closes the connection before their end."""
         headers: dict[str, str] = {}
         while True:
             line = self.rfile.readline(MAX_LINE + 1)
@@ -182,10 +183,10 @@
                     pass  # trailers
                 return body
             body += self.rfile.read(size)
-            self.rfile.readline(8)  # the end of the chunk's line
+            self.rfile.readline(8)  # the line end after the chunk's data
 
     def _send(self, response: Response) -> float:
-        """Send a response; a moment of the steady clock before its first byte."""
+        """Send a response. Returns the time of the steady clock just before its first byte was sent."""
         head = [
             f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Status')}",
             "Content-Type: application/json",
@@ -195,18 +196,18 @@
         if self.close_connection:
             head.append("Connection: close")
         self.connection.settimeout(REQUEST_S)
-        # Before the bytes leave: what comes next on this connection was sent after this moment.
+        # Taken before the bytes are sent: the next request on this connection is then certainly sent later.
         sent_at = time.monotonic()
         self.connection.sendall("\r\n".join(head).encode() + b"\r\n\r\n" + response.body)
         return sent_at
 
 
 class HttpServer:
-    """Listens at an address and passes every request to a handler, in a thread for each connection."""
+    """Listens on an address and passes each request to a handler, with one thread per connection."""
 
     def __init__(self, host: str, port: int, handle: Handle, max_connections: int, name: str) -> None:
-        """`port`: 0 for any that is free. `handle`: called by many threads at once. `name`: for the log.
-        OSError: the address can't be had."""
+        """`port`: 0 selects a free port. `handle`: called concurrently by many threads. `name`: used in logs.
+        OSError: the address can't be bound."""
         self._handle = handle
         self._max_connections = max_connections
         self._open_connections = 0
@@ -219,34 +220,34 @@
         self.port: int = self._socket.getsockname()[1]
 
     @property
-    def crowded(self) -> bool:
-        """Whether three quarters of the connections are taken. Read without the lock."""
+    def is_near_connection_limit(self) -> bool:
+        """Returns whether over three quarters of the allowed connections are open. Reads without the lock."""
         return self._open_connections * 4 > self._max_connections * 3
 
-    def _enter(self) -> bool:
+    def _try_reserve_connection(self) -> bool:
         with self._lock:
             if self._open_connections >= self._max_connections:
                 return False
             self._open_connections += 1
             return True
 
-    def _leave(self) -> None:
+    def _release_connection(self) -> None:
         with self._lock:
             self._open_connections -= 1
 
     def handle(self, request: Request) -> Response:
-        """The response to one request."""
+        """Returns the response to one request, a 500 if the handler raises an exception."""
         try:
             return self._handle(request)
-        except Exception:  # a fault in a handler costs that request alone
+        except Exception:  # an error in a handler fails only this request
             log.exception("request failed: method=%s path=%s", request.method, request.path)
             return Response(500, b'{"error":"internal error"}')
 
     def start(self) -> None:
-        """Accept in a thread of its own."""
-        threading.Thread(target=self._accept, name=f"accept-{self._name}", daemon=True).start()
+        """Start the thread that accepts connections."""
+        threading.Thread(target=self._accept_loop, name=f"accept-{self._name}", daemon=True).start()
 
-    def _accept(self) -> None:
+    def _accept_loop(self) -> None:
         while True:
             try:
                 connection, peer = self._socket.accept()
@@ -254,22 +255,23 @@
                 log.error("accept failed: server=%s error=%s", self._name, error)
                 time.sleep(ACCEPT_RETRY_S)
                 continue
-            if not self._enter():
-                # Closed rather than left waiting: the load balancer then tries another controller.
+            if not self._try_reserve_connection():
+                # Close the connection instead of queueing it, so that the load balancer tries another
+                # controller.
                 connection.close()
                 continue
             try:
                 threading.Thread(target=self._serve, args=(connection, peer), daemon=True).start()
-            except RuntimeError:  # no thread can be started
-                self._leave()
+            except RuntimeError:  # the thread could not be started
+                self._release_connection()
                 connection.close()
 
     def _serve(self, connection: socket.socket, peer: tuple[str, int]) -> None:
         try:
             Connection(connection, peer, self)  # type: ignore[arg-type]  # its `server` is declared above
-        except Exception as error:  # noqa: BLE001 - top of the thread: a fault costs this connection alone
+        except Exception as error:  # noqa: BLE001 - top of the thread: an error fails only this connection
             log.debug("connection failed: server=%s error=%r", self._name, error)
         finally:
-            self._leave()
+            self._release_connection()
             with suppress(OSError):
                 connection.close()
