--- a/bayford/coordination/api/acceptance_rate.py
+++ b/bayford/coordination/api/acceptance_rate.py
@@ -1,9 +1,9 @@
-"""Limits the rate at which one controller writes acceptances to what the level and the state service allow.
+"""Limits the rate at which one controller writes acceptances to what the level and the key-value store allow.
 
 The rate follows additive increase, multiplicative decrease: a refused write halves it, a successful one
 raises it by `INCREASE`. During a flood of submissions that no level limits yet, this keeps the controllers
-from filling the state service's request rate with writes that it refuses, at the expense of the task log, the
-leases and the level itself.
+from filling the key-value store's request rate with writes that it refuses, at the expense of the task log,
+the leases and the level itself.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class AcceptanceRateLimiter:
-    """A token bucket whose rate adapts to refusals by the state service. Callers must hold a lock."""
+    """A token bucket whose rate adapts to refusals by the key-value store. Callers must hold a lock."""
 
     def __init__(self, max_rate: float, clock: Callable[[], float]) -> None:
         """`max_rate`: the maximum and initial rate, in acceptances per second."""
@@ -44,11 +44,11 @@
         return True
 
     def written(self) -> None:
-        """Raise the rate after the state service has executed the transaction of an acceptance."""
+        """Raise the rate after the key-value store has executed the transaction of an acceptance."""
         self._rate = min(self._max_rate, self._rate + INCREASE)
 
     def refused(self) -> None:
-        """Lower the rate after the state service has refused the transaction of an acceptance."""
+        """Lower the rate after the key-value store has refused the transaction of an acceptance."""
         now = self._clock()
         if now - self._decreased_at >= DECREASE_PAUSE_S:
             self._decreased_at = now
--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -37,7 +37,7 @@
     """The decision on a submission: a refusal, or the conditions of the write that accepts it."""
 
     refusal: Reply | None
-    conditions: dict[str, int]  # by key: the version that it must have in the transaction
+    conditions: dict[str, int]  # by key: the version that the transaction requires
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
         self, watch_cache: WatchCache, classes: Iterable[str], write_rps: float, clock: Callable[[], float]
     ) -> None:
         """`classes`: the job classes that the deployment's settings name; all others count as one class.
-        `write_rps`: writes per second that the state service allows."""
+        `write_rps`: writes per second that the key-value store allows."""
         self._watch_cache = watch_cache
         self._classes = frozenset(classes)
         self._clock = clock
@@ -99,22 +99,22 @@
         level_rate = None
         if level is not None and level.accept_rps:
             level_rate = level.accept_rps / max(1, view.controllers)
-        urgent = spec.priority >= URGENT
+        is_urgent = spec.priority >= URGENT
         with self._lock:
-            within_rate = self._rate_limiter.take(urgent, level_rate)
-        if within_rate:
+            is_within_rate = self._rate_limiter.take(is_urgent, level_rate)
+        if is_within_rate:
             return Verdict(None, conditions)
         text = "more submissions are admitted than can be written in a second"
-        retry_after_s = URGENT_RATE_LIMITED_RETRY_S if urgent else RATE_LIMITED_RETRY_S
+        retry_after_s = URGENT_RATE_LIMITED_RETRY_S if is_urgent else RATE_LIMITED_RETRY_S
         return Verdict(Reply(SERVICE_UNAVAILABLE, jobs.error(text), retry_after_s), conditions)
 
     def on_written(self) -> None:
-        """Record that the state service has executed the transaction of an acceptance."""
+        """Record that the key-value store has executed the transaction of an acceptance."""
         with self._lock:
             self._rate_limiter.written()
 
     def on_write_refused(self) -> None:
-        """Record that the state service has refused the transaction of an acceptance."""
+        """Record that the key-value store has refused the transaction of an acceptance."""
         with self._lock:
             self._rate_limiter.refused()
 
--- a/bayford/coordination/api/cancellation_notices.py
+++ b/bayford/coordination/api/cancellation_notices.py
@@ -1,6 +1,6 @@
 """Notifies the leader of cancellations that this controller has confirmed.
 
-Normally the leader learns of a cancellation from its watch cache. If the state service refuses the leader's
+Normally the leader learns of a cancellation from its watch cache. If the key-value store refuses the leader's
 reads, or starts to refuse the reads of all controllers right after a cancellation, the leader learns of it
 from these notices. They arrive before the limit on the age of its watch cache makes the leader stop
 answering.
--- a/bayford/coordination/api/job_requests.py
+++ b/bayford/coordination/api/job_requests.py
@@ -36,8 +36,8 @@
 
 STORE_UNAVAILABLE = "the state service does not answer"
 READ_TIMEOUT_S = 1.2  # users give up on a query after 2 s
-FINAL_RECORD_GROWTH = 64  # bytes that a record may grow by until the job has ended
-# Attempts of a compare-and-swap that fails because of concurrent writes of the same record.
+FINAL_RECORD_GROWTH_BYTES = 64  # maximum growth of a record until the job has ended
+# Attempts of a transaction, if other writers change the same record at the same time.
 SUBMIT_ATTEMPTS = 3
 CANCEL_ATTEMPTS = 6
 NO_CONDITIONS: Mapping[str, int] = MappingProxyType({})
@@ -164,7 +164,7 @@
         if refusal is not None:
             return refusal
         record = records.Record(self._without_unknown_types(spec), round(self._wall(), 2))
-        size = records.size(records.encode(record)) + FINAL_RECORD_GROWTH
+        size = records.size(records.encode(record)) + FINAL_RECORD_GROWTH_BYTES
         max_size = self._limits.value_bytes
         if size > max_size:
             return _too_large(size, max_size)
--- a/bayford/coordination/workers/heartbeat_service.py
+++ b/bayford/coordination/workers/heartbeat_service.py
@@ -85,12 +85,12 @@
 
     # -- heartbeats ------------------------------------------------------------------------------------
 
-    def answer(self, heartbeat: workers.Heartbeat, after: float, hold: bool = True) -> Reply:
+    def answer(self, heartbeat: workers.Heartbeat, sent_after: float, may_hold: bool = True) -> Reply:
         """Answer a worker's heartbeat.
 
-        `after`: time of the steady clock at or after which the worker certainly sent it. `hold`: whether the
-        response may be held back until there are commands to put into it, for the time that the policy
-        allows.
+        `sent_after`: time of the steady clock at or after which the worker certainly sent it. `may_hold`:
+        whether the response may be held back until there are commands to put into it, for the time that the
+        policy allows.
         """
         arrived_at = self._clock()
         if self._connectivity.is_isolated():
@@ -102,7 +102,7 @@
             return Reply(503, jobs.error("a newer leadership record exists"))
         record = self._membership.record
         if self._membership.is_leader():
-            return self._answer_as_leader(heartbeat, arrived_at, after, hold)
+            return self._answer_as_leader(heartbeat, arrived_at, sent_after, may_hold)
         if not record.leader or not self._membership.is_live(record.leader, record.incarnation):
             return Reply(503, jobs.error("no leader yet"))
         redirect_to = self._redirect_target(heartbeat, record)
@@ -114,7 +114,7 @@
         """Returns whether this controller knows the worker's fencing token or a higher one.
 
         If not, it reads the leadership record first. Until it has read the record with the higher token,
-        workers get neither commands nor redirects.
+        workers get only error responses.
         """
         if heartbeat.fencing_token <= self._membership.record.fencing_token:
             return True
@@ -144,7 +144,7 @@
         return None
 
     def _answer_as_leader(
-        self, heartbeat: workers.Heartbeat, arrived_at: float, after: float, hold: bool
+        self, heartbeat: workers.Heartbeat, arrived_at: float, sent_after: float, may_hold: bool
     ) -> Reply:
         scheduler = self._scheduler
         record = self._membership.record
@@ -152,14 +152,14 @@
             return Reply(503, jobs.error("reading the records"))
         if not self._verifier.await_verified_leader():
             return Reply(503, jobs.error("leadership not verified"))
-        index = scheduler.on_heartbeat(heartbeat, after)
+        index = scheduler.on_heartbeat(heartbeat, sent_after)
         if index is None:
             return Reply(200, workers.encode_response(record.fencing_token, []))
         event = self._commands_ready[index] = threading.Event()
         self._signals.round.set()
         if scheduler.has_pending_writes():
             self._signals.commit.set()
-        commands = self._await_commands(index, event, arrived_at, hold)
+        commands = self._await_commands(index, event, arrived_at, may_hold)
         if (
             self._membership.record.version != record.version
             or scheduler.term != record.version
@@ -178,13 +178,13 @@
         return scheduler.complete and scheduler.term == record.version
 
     def _await_commands(
-        self, index: int, event: threading.Event, arrived_at: float, hold: bool
+        self, index: int, event: threading.Event, arrived_at: float, may_hold: bool
     ) -> list[workers.Command]:
         """Returns the commands for a machine as soon as there are any, or without any after the hold time.
 
         Starts are held back until a read that was sent after the heartbeat arrived has verified leadership.
         """
-        hold_s = self._scheduler.hold_s(index) if hold else 0.0
+        hold_s = self._scheduler.hold_s(index) if may_hold else 0.0
         while True:
             event.clear()
             commands, read_needed = self._scheduler.commands_for(index, arrived_at)
@@ -207,7 +207,7 @@
         fencing_token = self._membership.record.fencing_token
         if is_refreshed:
             return Reply(200, workers.encode_response(fencing_token, self._relay.commands(heartbeat)))
-        # The state service is unavailable or refuses this controller. If the fencing token known here is
+        # The key-value store is unavailable or refuses this controller. If the fencing token known here is
         # outdated, a worker that has seen a higher one drops this response. A stale view is not sufficient to
         # start tasks. It is sufficient to stop cancelled ones, because a cancellation is final.
         if self._clock() - self._watch_cache.as_of > self._scheduler.staleness_limit():
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -23,7 +23,7 @@
 
 RELAY_DURATION_S = 30.0  # how long this controller answers a worker that could not reach the leader
 FIRST_RELAY_DURATION_S = 10.0  # same for one that has just lost the leader, which it then tries again
-# A worker that returns in this range after a redirect could not reach the leader. That takes it 1 s or more.
+# A worker that returns this soon after a redirect could not reach the leader. A return takes at least 1 s.
 MIN_RETURN_S, MAX_RETURN_S = 0.5, 20.0
 RELAY_COOLDOWN_S = 60.0  # minimum time from the end of a relay until loss of the leader alone starts another
 MAX_ROW_AGE_S = 15.0  # maximum age of a relay's rows for the leader to read heartbeats from them
@@ -110,9 +110,9 @@
     def note(self, heartbeat: workers.Heartbeat) -> None:
         """Store the heartbeat of a relayed machine for the leader, unless a newer one is stored."""
         with self._lock:
-            kept = self._heartbeats.get(heartbeat.machine)
-            if kept is not None:
-                last = kept.heartbeat
+            stored = self._heartbeats.get(heartbeat.machine)
+            if stored is not None:
+                last = stored.heartbeat
                 if (heartbeat.epoch, heartbeat.sequence) <= (last.epoch, last.sequence):
                     return
                 if last.tasks != heartbeat.tasks or last.epoch != heartbeat.epoch:
@@ -172,9 +172,9 @@
         now = self._clock()
         with self._lock:
             self._heartbeats = {
-                machine: kept
-                for machine, kept in self._heartbeats.items()
-                if now - kept.received_at < HEARTBEAT_RETENTION_S
+                machine: stored
+                for machine, stored in self._heartbeats.items()
+                if now - stored.received_at < HEARTBEAT_RETENTION_S
             }
             if not self._heartbeats and not self._key_count:
                 return []
@@ -182,7 +182,7 @@
                 return []
             self._published_at = now
             self._changed = False
-            heartbeats = [kept.heartbeat for kept in self._heartbeats.values()]
+            heartbeats = [stored.heartbeat for stored in self._heartbeats.values()]
         texts = mesh.pack_heartbeats(heartbeats, self._limits.value_bytes - ENVELOPE_BYTES)
         at = round(self._wall(), 1)
         puts = [Put(self._key(number), {"at": at, "reports": text}) for number, text in enumerate(texts)]
--- a/bayford/coordination/workers/relay_publisher.py
+++ b/bayford/coordination/workers/relay_publisher.py
@@ -15,7 +15,7 @@
 class RelayPublisher:
     """Publishes relayed heartbeats at a limited rate. Called only by the membership thread.
 
-    A relay of thousands of machines has more rows to write than the state service accepts in a second.
+    A relay of thousands of machines has more rows to write than the store accepts in a second.
     """
 
     def __init__(
--- a/bayford/coordination/workers/stop_commands.py
+++ b/bayford/coordination/workers/stop_commands.py
@@ -12,7 +12,7 @@
 QUEUE_SIZE = 16_384  # machines; those beyond it get the command in the response to their next heartbeat
 SENDER_THREADS = 3
 
-SendCommand = Callable[[str, bytes], bytes | None]  # address and body to heartbeat, None: no answer
+SendCommand = Callable[[str, bytes], bytes | None]  # (address, body) to heartbeat, None: no answer
 
 
 class StopCommands(LeaderListener):
@@ -59,9 +59,8 @@
         address, epoch, commands = target
         body = self.send(address, workers.encode_stop_commands(record.fencing_token, epoch, commands))
         if body is not None:
-            # The answer has the worker's current state, but a response with start commands may still be in
-            # flight to the worker. So `after`, which would close placements that have not started, is not
-            # passed.
+            # The answer has the worker's current state, but an earlier response may still be in flight to the
+            # worker. So `after`, which would close placements that have not started, is not passed.
             self._scheduler.on_heartbeat(workers.parse_heartbeat(body), asked=True)
             self._signals.round.set()
         return 0.0
--- a/bayford/transport/concurrency_limit.py
+++ b/bayford/transport/concurrency_limit.py
@@ -44,14 +44,15 @@
         self._window, self._window_s = window, window_s
         self._min_time_s = min_time_s
         self._clock = clock
-        self._lock = threading.Lock()  # guards all fields below; `limit` and `refused` are read without it
+        # Guards all fields below; `limit` and `refused_count` are read without it.
+        self._lock = threading.Lock()
         self._limit = start
         self._in_progress = 0
         self._peak_in_progress = 0  # maximum of `_in_progress` in this window
         self._baseline_s: float | None = None  # median of the fastest window
         self._times = HdrHistogram(1, HISTOGRAM_MAX_US, SIGNIFICANT_DIGITS)
         self._window_started_at = clock()
-        self.refused = 0
+        self.refused_count = 0
 
     @property
     def limit(self) -> int:
@@ -71,7 +72,7 @@
                 self._in_progress += 1
                 self._peak_in_progress = max(self._peak_in_progress, self._in_progress)
             else:
-                self.refused += 1
+                self.refused_count += 1
         if not entered:
             yield False
             return
--- a/bayford/transport/http_handlers.py
+++ b/bayford/transport/http_handlers.py
@@ -59,10 +59,10 @@
         except jobs.InvalidError as error:
             return Response(400, jobs.error(str(error)))
         reply = self._controller.heartbeat(
-            heartbeat, request.after, hold=not request.is_near_connection_limit
+            heartbeat, request.sent_after, hold=not request.is_near_connection_limit
         )
         # If there are more machines than allowed connections, each is answered at once and its connection
-        # closed. Otherwise the last ones to connect would be refused until their leases have expired.
+        # closed. Otherwise the last ones to connect would be refused until a lease has expired.
         return Response(
             reply.status, reply.body, idle_s=0.0 if request.is_near_connection_limit else self._worker_idle_s
         )
--- a/bayford/transport/http_server.py
+++ b/bayford/transport/http_server.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 IDLE_S = 40.0  # how long a connection waits for a request, unless its last response sets `idle_s`
-REQUEST_S = 5.0  # timeout of each read after the first line of a request, and of sending a response
+REQUEST_TIMEOUT_S = 5.0  # timeout of each read after the first line of a request, and of sending a response
 MAX_BODY = 64 * 1024  # bytes
 MAX_LINE = 8 * 1024  # bytes
 MAX_HEADERS = 64
@@ -49,7 +49,7 @@
     method: str
     path: str  # including the query string
     body: bytes
-    after: float  # steady clock, time of the previous response; the request was certainly sent later
+    sent_after: float  # steady clock, time of the previous response; the request was certainly sent later
     headers: dict[str, str] = field(default_factory=dict)  # names are in lower case
     is_near_connection_limit: bool = False  # see `HttpServer.is_near_connection_limit`
 
@@ -91,12 +91,12 @@
     def handle(self) -> None:
         """Serve requests until either side closes the connection."""
         self.close_connection = False
-        after = NEVER
+        sent_after = NEVER
         idle_s = IDLE_S
         try:
             while not self.close_connection:
                 self.connection.settimeout(idle_s)
-                request = self._read_request(after)
+                request = self._read_request(sent_after)
                 if request is None:
                     return
                 request.is_near_connection_limit = self.server.is_near_connection_limit
@@ -104,7 +104,7 @@
                 idle_s = response.idle_s
                 if not idle_s:
                     self.close_connection = True
-                after = self._send(response)
+                sent_after = self._send(response)
         except HttpError as error:
             self.close_connection = True
             body = b'{"error":"' + str(error).encode() + b'"}'
@@ -117,13 +117,13 @@
         with suppress(OSError):
             super().finish()
 
-    def _read_request(self, after: float) -> Request | None:
+    def _read_request(self, sent_after: float) -> Request | None:
         """Returns the next request, None if the peer closed the connection. HttpError: it is malformed."""
         line = self.rfile.readline(MAX_LINE + 1)
         if not line:
             return None
-        # After the first line of a request, each further read must finish within `REQUEST_S`.
-        self.connection.settimeout(REQUEST_S)
+        # After the first line of a request, each further read must finish within `REQUEST_TIMEOUT_S`.
+        self.connection.settimeout(REQUEST_TIMEOUT_S)
         words = line.split()
         if len(line) > MAX_LINE:
             raise HttpError(431, "line too long")
@@ -135,7 +135,7 @@
         if words[2] == b"HTTP/1.0" or headers.get("connection", "").lower() == "close":
             self.close_connection = True
         body = self._read_body(headers)
-        return Request(words[0].decode("latin-1"), words[1].decode("latin-1"), body, after, headers)
+        return Request(words[0].decode("latin-1"), words[1].decode("latin-1"), body, sent_after, headers)
 
     def _read_headers(self) -> dict[str, str] | None:
         """Returns the headers by lower-case name, None if the peer closes the connection before their end."""
@@ -195,7 +195,7 @@
         head += [f"{name}: {value}" for name, value in response.headers]
         if self.close_connection:
             head.append("Connection: close")
-        self.connection.settimeout(REQUEST_S)
+        self.connection.settimeout(REQUEST_TIMEOUT_S)
         # Taken before the bytes are sent: the next request on this connection is then certainly sent later.
         sent_at = time.monotonic()
         self.connection.sendall("\r\n".join(head).encode() + b"\r\n\r\n" + response.body)
