--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for the systems around bayford, on loopback sockets, by the protocol of their services.
+"""Stand-ins for the external services of bayford, on loopback sockets, for tests and trials.
 
-A state service, a cloud, workers, and the processes of real controllers, each with typed controls for
-faults. For tests and trials; nothing here is part of the service.
+A state service, a cloud and workers with fault injection, users, and processes of real controllers, which can
+be killed and restarted. The service itself imports nothing from here.
 """
--- a/standins/admission_history.py
+++ b/standins/admission_history.py
@@ -1,4 +1,4 @@
-"""Checks of a history of admission: the changes of the store, and the answers to submissions."""
+"""Checks on admission: the changes of the key-value store against the responses to submissions."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class SubmissionAnswer:
-    """One answer to a submission. `revision`: that of the level which a refusal names, else 0."""
+    """One response to a submission. `revision` is that of the admission level named by a refusal, else 0."""
 
     controller: str
     job_id: str
@@ -22,8 +22,8 @@
 
 
 @dataclass
-class _StoredState:
-    """What is stored at one revision, as far as admission depends on it."""
+class _AdmissionState:
+    """The stored data that admission depends on, as of one revision."""
 
     level: Any = None
     level_version: int = 0
@@ -51,26 +51,27 @@
 
 
 def against_level(changes: Iterable[Row], flows: Mapping[str, Flow]) -> list[str]:
-    """Jobs of these flows whose record was first written at a revision whose level refuses them.
+    """Return the jobs whose record was first written under an admission level that refuses them.
 
-    `changes`: of the state service, in order. What one transaction writes has one revision.
+    `changes` are those of the state service, in order; all changes of a transaction have one revision.
+    `flows` maps each job to its flow; other jobs are ignored.
     """
-    state = _StoredState()
-    seen: set[str] = set()
+    state = _AdmissionState()
+    stored_jobs: set[str] = set()
     violations = []
     for row in changes:
         job_id = row.key[len(records.JOBS) :]
         if not row.key.startswith(records.JOBS):
             state.apply(row)
-        elif job_id in flows and job_id not in seen:
-            seen.add(job_id)
+        elif job_id in flows and job_id not in stored_jobs:
+            stored_jobs.add(job_id)
             if not decide(state.level_in_force(), flows[job_id], job_id).admitted:
                 violations.append(job_id)
     return violations
 
 
 def accepted_under(changes: Iterable[Row]) -> list[SubmissionAnswer]:
-    """For each job the version of the level that was stored when its record was first written."""
+    """Return an acceptance per job, with the version of the level stored at its record's first write."""
     version = 0
     first_stored: dict[str, SubmissionAnswer] = {}
     for row in changes:
@@ -85,7 +86,11 @@
 def refused_wrongly(
     changes: Iterable[Row], answers: Iterable[SubmissionAnswer], flows: Mapping[str, Flow]
 ) -> list[SubmissionAnswer]:
-    """Refusals by a level that admits the job, by a level that was never written, or after its acceptance."""
+    """Return the refusals that are not justified.
+
+    These name a level that admits the job, cannot be decoded or was never written, or a level that was
+    written after the job's acceptance.
+    """
     levels: dict[int, Level | None] = {}
     accepted_at: dict[str, int] = {}
     for row in changes:
@@ -99,14 +104,21 @@
             continue
         level = levels.get(answer.revision)
         accepted = accepted_at.get(answer.job_id)
-        known_before = accepted is not None and accepted < answer.revision
-        if level is None or known_before or decide(level, flows[answer.job_id], answer.job_id).admitted:
+        was_accepted_before = accepted is not None and accepted < answer.revision
+        if (
+            level is None
+            or was_accepted_before
+            or decide(level, flows[answer.job_id], answer.job_id).admitted
+        ):
             violations.append(answer)
     return violations
 
 
 def chosen_differently(answers: Iterable[SubmissionAnswer]) -> list[str]:
-    """Jobs that one level both refused and accepted (see `accepted_under`)."""
+    """Return the jobs that were both refused and accepted under the same level.
+
+    `answers` includes the acceptances of `accepted_under`, which name their level.
+    """
     choices: dict[tuple[str, int], set[bool]] = {}
     for answer in answers:
         if answer.revision and answer.status in (201, 429):
@@ -115,9 +127,10 @@
 
 
 def began_too_late(begun: Mapping[str, int], pairs: Iterable[tuple[str, str]]) -> list[str]:
-    """The urgent jobs that started after the other job of their pair, submitted at the same time.
+    """Return the urgent jobs that started after the other job of their pair, or never.
 
-    `begun`: the first attempt of each job; attempts are numbered in the order of placement.
+    `begun` maps each job to the number of its first attempt; numbers are assigned in the order of placement.
+    Each of `pairs` is an urgent job and another job, submitted at the same time.
     """
     return [
         urgent
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -1,4 +1,4 @@
-"""A cloud whose machines are stand-in workers."""
+"""Stand-in cloud API whose machines are stand-in workers."""
 
 import threading
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 class Cloud:
-    """Machines of some types in some zones, up to a capacity."""
+    """Launches, lists and deletes machines of `kinds` in `zones`, at most `capacity` at a time."""
 
     def __init__(self, fleet: WorkerFleet, kinds: list[MachineKind], zones: list[str], capacity: int) -> None:
         self.controls = ServiceControls()
@@ -17,7 +17,7 @@
         self._zones = zones
         self.capacity = capacity
         self._lock = threading.Lock()
-        self._launched: dict[str, list[str]] = {}
+        self._launched: dict[str, list[str]] = {}  # launch request ID -> names of its machines
         self._service = HttpService(self._handle, self.controls)
         self.address = self._service.address
 
--- a/standins/controllers.py
+++ b/standins/controllers.py
@@ -1,4 +1,4 @@
-"""Processes of real controllers, and requests of users to them."""
+"""Starts and kills processes of real controllers, and sends user requests to them."""
 
 import http.client
 import json
@@ -14,7 +14,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports of the loopback address that are free now."""
+    """Return `count` distinct loopback ports that were free at the time of the call."""
     sockets = [socket.socket() for _ in range(count)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -25,10 +25,10 @@
 
 
 class Controllers:
-    """The controllers of one site; each may be killed and started again."""
+    """The controller processes of one site, each of which can be killed and restarted."""
 
     def __init__(self, folder: Path, zones: dict[str, str], facts: str, script: str) -> None:
-        """`zones`: the zone of each controller, by name. `facts`: `[facts]` of the settings, as TOML."""
+        """`zones` maps each controller to its zone; `facts` is the settings' `[facts]` section as TOML."""
         self._folder = folder
         self._zones = zones
         self._facts = facts
@@ -36,20 +36,20 @@
         self._script.write_text(script)
         ports = free_ports(2 * len(zones))
         self.fronts = {name: f"127.0.0.1:{ports[2 * n]}" for n, name in enumerate(zones)}
-        self._meshes = {name: f"127.0.0.1:{ports[2 * n + 1]}" for n, name in enumerate(zones)}
+        self._mesh_addresses = {name: f"127.0.0.1:{ports[2 * n + 1]}" for n, name in enumerate(zones)}
         self._running: dict[str, subprocess.Popen[bytes]] = {}
 
     def start(self, name: str, state: str, cloud: str) -> None:
-        """Start, or start again, one controller."""
+        """Start or restart one controller; `state` and `cloud` are the addresses of these services."""
         seeds = "".join(
-            f'[[seeds]]\nmember = "{peer}"\nsite = "{zone}"\nendpoint = "{self._meshes[peer]}"\n'
+            f'[[seeds]]\nmember = "{peer}"\nsite = "{zone}"\nendpoint = "{self._mesh_addresses[peer]}"\n'
             for peer, zone in self._zones.items()
             if peer != name
         )
         settings = self._folder / f"{name}.toml"
         settings.write_text(
             f'member = "{name}"\nsite = "{self._zones[name]}"\nfront = "{self.fronts[name]}"\n'
-            f'mesh_addr = "{self._meshes[name]}"\n{seeds}'
+            f'mesh_addr = "{self._mesh_addresses[name]}"\n{seeds}'
             f'[outside]\ncloud = "{cloud}"\nstate = "{state}"\n{self._facts}'
         )
         command = [sys.executable, "-m", "bayford", "serve", "--config", str(settings)]
@@ -64,27 +64,27 @@
             )
 
     def kill(self, name: str) -> None:
-        """Kill a controller's process."""
+        """Kill a controller's process (SIGKILL) and wait for its exit."""
         process = self._running.pop(name)
         process.kill()
         process.wait()
 
     def close(self) -> None:
-        """Kill all that run."""
+        """Kill all running controllers."""
         for name in list(self._running):
             self.kill(name)
 
     def log(self, name: str) -> str:
-        """What a controller has logged so far."""
+        """Return the text that a controller has logged."""
         return (self._folder / f"{name}.log").read_text()
 
     def ask(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """A user's request to one controller: status and body; status 0 without a response."""
-        status, answer, _ = self.request(name, method, path, body)
-        return status, answer
+        """Send a user's request to one controller; return status and body, (0, None) without a response."""
+        status, response_body, _ = self.request(name, method, path, body)
+        return status, response_body
 
     def request(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any, float]:
-        """The same, and the seconds of `Retry-After`, 0 without that header."""
+        """Like `ask`, but also return the seconds of the `Retry-After` header, 0 without it."""
         connection = http.client.HTTPConnection(self.fronts[name], timeout=5.0)
         try:
             connection.request(method, path, None if body is None else json.dumps(body))
@@ -97,7 +97,10 @@
             connection.close()
 
     def submit(self, job: dict[str, Any], timeout_s: float = 60.0) -> str:
-        """Submit as users do, to one controller after the other, until one accepts; its name."""
+        """Submit a job to each running controller in turn until one accepts it; return that one's name.
+
+        Raises `TimeoutError` if none has accepted the job within `timeout_s`.
+        """
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             for name in list(self._running):
@@ -105,4 +108,4 @@
                 if status in (200, 201):
                     return name
             time.sleep(0.2)
-        raise TimeoutError(f"{job['id']} was accepted by no controller")
+        raise TimeoutError(f"no controller accepted job {job['id']} within {timeout_s:.0f} s")
--- a/standins/history.py
+++ b/standins/history.py
@@ -1,4 +1,4 @@
-"""Checks of a history of task attempts, and of the answers that users got."""
+"""Checks on a history of task attempts and on the phases reported to users."""
 
 import itertools
 from collections import Counter
@@ -8,7 +8,7 @@
 
 
 def ran_twice(history: Iterable[Event]) -> list[str]:
-    """Tasks that started while another attempt of them ran."""
+    """Return the tasks of which an attempt started while another one was running."""
     running: dict[str, tuple[int, str]] = {}
     violations = []
     for event in history:
@@ -23,15 +23,15 @@
 
 
 def not_done_once(history: Iterable[Event], task_ids: Iterable[str]) -> list[str]:
-    """Those of these tasks that did not complete exactly once."""
+    """Return the tasks of `task_ids` that did not complete exactly once."""
     done = Counter(event.task_id for event in history if event.what == "done")
     return [task_id for task_id in task_ids if done[task_id] != 1]
 
 
 def done_again(history: Iterable[Event]) -> list[str]:
-    """Tasks that completed twice while the machine of the first completion still remembered it.
+    """Return the tasks that completed again while a worker still kept an earlier completed attempt.
 
-    A worker whose lease expires forgets ended attempts, after which the task may run once more.
+    A worker whose lease expires discards its ended attempts; the task may then run again.
     """
     remembered: set[str] = set()
     violations = []
@@ -46,14 +46,18 @@
 
 
 def without_one_answer(answers: Mapping[str, Mapping[str, str | None]], final: str) -> list[str]:
-    """Jobs for which some controller gives another phase than `final`. `answers`: by job and controller."""
+    """Return the jobs for which some controller reports a phase other than `final`.
+
+    `answers` maps each job to the phase that each controller reports; a job without any is returned, too.
+    """
     return [job for job, phases in answers.items() if not phases or set(phases.values()) != {final}]
 
 
 def out_of_order(history: Iterable[Event], machines: Iterable[str], jobs: Sequence[str]) -> list[str]:
-    """Jobs that started a task on these machines before the job that precedes them in `jobs` had started all.
+    """Return the jobs that started a task on `machines` before their predecessor in `jobs` had started all.
 
-    Attempts are numbered in the order in which they are placed.
+    A job is also returned if it or its predecessor started no task there. The order of starts is that of the
+    attempt numbers, which are assigned in the order of placement.
     """
     on_machines = set(machines)
     numbers: dict[str, list[int]] = {job: [] for job in jobs}
--- a/standins/http_service.py
+++ b/standins/http_service.py
@@ -1,4 +1,4 @@
-"""A JSON service on a loopback port, with the faults that every service can have."""
+"""A JSON service on a loopback port, with fault injection common to all stand-in services."""
 
 import json
 import threading
@@ -9,21 +9,21 @@
 from typing import Any
 from urllib.parse import parse_qsl, urlsplit
 
-IDLE_CONNECTION_S = 30.0  # a connection without a request is closed after this
+IDLE_CONNECTION_TIMEOUT_S = 30.0
 
 
 @dataclass
 class ServiceControls:
-    """Faults of a service. Set at any time, by any thread."""
+    """Fault injection for one service. Any thread may change the fields at any time."""
 
-    down: bool = False  # every request gets 503
-    delay_s: float = 0.0  # before each response
-    lose_answers: int = 0  # so many more requests are executed and get no response
+    is_down: bool = False  # every request is answered with 503
+    response_delay_s: float = 0.0  # waits this long before each response
+    responses_to_drop: int = 0  # number of next requests that are executed but get no response
 
 
 @dataclass(frozen=True)
 class Request:
-    """One request; `body` is the parsed JSON, None without one."""
+    """An HTTP request; `body` is the parsed JSON, None if the request has no body."""
 
     method: str
     path: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Response:
-    """Status and JSON body of a response."""
+    """The status and JSON body of an HTTP response."""
 
     status: int
     body: Any = field(default_factory=dict)
@@ -44,11 +44,11 @@
     request_queue_size = 256
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Print nothing: a connection that its peer broke is no error here."""
+        """Suppress the traceback: clients may break connections at any time."""
 
 
 class HttpService:
-    """Serves `handle` on a port of its own until it is closed, with a thread for each connection."""
+    """An HTTP server on a free loopback port; calls `handle` for each request, one thread per connection."""
 
     def __init__(
         self, handle: Callable[[Request], Response], controls: ServiceControls | None = None
@@ -57,11 +57,11 @@
         service = self
 
         class Handler(BaseHTTPRequestHandler):
-            """One connection."""
+            """Serves the requests of one connection."""
 
             protocol_version = "HTTP/1.1"
             disable_nagle_algorithm = True
-            timeout = IDLE_CONNECTION_S
+            timeout = IDLE_CONNECTION_TIMEOUT_S
 
             def _serve(self) -> None:
                 length = int(self.headers.get("Content-Length") or 0)
@@ -84,21 +84,24 @@
             do_GET = do_POST = do_DELETE = _serve  # noqa: N815 (named by http.server)
 
             def log_message(self, format: str, *args: Any) -> None:
-                """Print no line for each request."""
+                """Suppress the log line of each request."""
 
         self._server = _Server(("127.0.0.1", 0), Handler)
         self.address = f"127.0.0.1:{self._server.server_address[1]}"
         threading.Thread(target=self._server.serve_forever, args=(0.1,), daemon=True).start()
 
     def respond(self, request: Request, handle: Callable[[Request], Response]) -> Response | None:
-        """The response to a request under the faults of now; None: close the connection without one."""
-        if self.controls.down:
+        """Return the response to a request, or None to close the connection without a response.
+
+        Applies the faults that are set in `controls`.
+        """
+        if self.controls.is_down:
             return Response(503, {"error": "trouble"})
         response = handle(request)
-        if self.controls.delay_s:
-            time.sleep(self.controls.delay_s)
-        if self.controls.lose_answers > 0:
-            self.controls.lose_answers -= 1
+        if self.controls.response_delay_s:
+            time.sleep(self.controls.response_delay_s)
+        if self.controls.responses_to_drop > 0:
+            self.controls.responses_to_drop -= 1
             return None
         return response
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,4 +1,4 @@
-"""A whole small site on loopback: state service, cloud, workers, controllers."""
+"""A small site on loopback: state service, cloud, workers and controllers."""
 
 import time
 from collections.abc import Callable, Mapping
@@ -48,7 +48,7 @@
 
 
 class Site:
-    """All of them together, as a context manager."""
+    """The services, workers and controllers of one site; the context manager starts and stops them."""
 
     def __init__(
         self,
@@ -59,13 +59,13 @@
         teams: Mapping[str, float] = MappingProxyType({"builders": 0.0}),
         state: StateService | None = None,
     ) -> None:
-        """`teams`: the guaranteed CPUs of each team, 0 for no guarantee."""
-        names = {"n0": "north", "n1": "south", "n2": "north"}
+        """`teams` maps each team to its guaranteed CPUs, 0 for no guarantee."""
+        controller_zones = {"n0": "north", "n1": "south", "n2": "north"}
         team_tables = "".join(
             f'[[facts.teams]]\nname = "{name}"\ncpus = {cpus}\n' for name, cpus in teams.items()
         )
         facts = FACTS.format(teams=team_tables, report_s=lease_s / 6, lease_s=lease_s, cancel_s=lease_s * 3.5)
-        self.controllers = Controllers(folder, names, facts, script)
+        self.controllers = Controllers(folder, controller_zones, facts, script)
         self.state = state or StateService()
         self.fleet = WorkerFleet(self.controllers.fronts, heartbeat_interval_s=lease_s / 6, lease_s=lease_s)
         self.cloud = Cloud(self.fleet, [KIND], ZONES, capacity)
@@ -84,21 +84,21 @@
         self.state.close()
 
     def start(self, name: str) -> None:
-        """Start a controller, or start it again."""
+        """Start or restart a controller."""
         self.controllers.start(name, self.state.address, self.cloud.address)
 
     def leader(self) -> str | None:
-        """The leader by the leadership record in the state service."""
+        """Return the leader named by the leadership record in the state service, None without one."""
         leaders = self.state.values("b/map").get("b/map", {}).get("owners")
         return next(iter(leaders.values()), None) if isinstance(leaders, dict) else None
 
     def submit(self, job: dict[str, Any], run_s: float) -> None:
-        """Upload a job each of whose tasks runs for `run_s`, and submit it until it is accepted."""
+        """Upload a job and submit it until a controller accepts it. Each of its tasks runs for `run_s`."""
         self.fleet.upload(job, run_s)
         self.controllers.submit(job)
 
     def phases(self, job_id: str) -> dict[str, str | None]:
-        """The phase of a job by each controller, None where it doesn't answer with 200."""
+        """Return the phase of a job that each controller reports, None for a status other than 200."""
         phases: dict[str, str | None] = {}
         for name in self.controllers.fronts:
             status, body = self.controllers.ask(name, "GET", f"/api/jobs/{job_id}")
@@ -107,7 +107,7 @@
 
 
 def job(number: int, image: str, tasks: int, job_class: str = "hot-builds", **fields: Any) -> dict[str, Any]:
-    """The body of a submission, with wire names; `fields` replace the defaults."""
+    """Return the body of a submission, with the protocol's field names; `fields` override the defaults."""
     return {
         "id": f"req-{number:06d}",
         "lane": job_class,
@@ -132,10 +132,13 @@
     } | fields
 
 
-def await_state(holds: Callable[[], bool], what: str, timeout_s: float = 120.0) -> None:
-    """Wait until `holds` does. The bound is generous: it ends a test that hangs and asserts nothing else."""
+def await_state(condition: Callable[[], bool], description: str, timeout_s: float = 120.0) -> None:
+    """Wait until `condition` returns true; raises `TimeoutError` after `timeout_s`.
+
+    The generous default only ends a test that hangs; it does not assert how long the wait may take.
+    """
     deadline = time.monotonic() + timeout_s
-    while not holds():
+    while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError(f"{what}: not within {timeout_s:.0f} s")
+            raise TimeoutError(f"timed out after {timeout_s:.0f} s waiting for: {description}")
         time.sleep(0.1)
--- a/standins/state_service.py
+++ b/standins/state_service.py
@@ -1,4 +1,4 @@
-"""The state service by its protocol: keys with versions, transactions, leases, a log of changes."""
+"""Stand-in state service with versioned keys, transactions, leases and a change log, by its protocol."""
 
 import math
 import threading
@@ -10,22 +10,22 @@
 from standins.http_service import HttpService, Request, Response, ServiceControls
 
 
-class _RateLimit:
-    """A rate a second, with bursts of one second's worth."""
+class _TokenBucket:
+    """A token bucket that refills at a rate per second and holds the tokens of one second."""
 
     def __init__(self, per_s: float) -> None:
-        self._per_s = self._available = per_s
-        self._filled_at = time.monotonic()
+        self._rate_per_s = self._tokens = per_s
+        self._refilled_at = time.monotonic()
 
-    def take(self, count: int) -> bool:
-        """Whether `count` more are within the rate; if so they are counted."""
+    def try_take(self, count: int) -> bool:
+        """Take `count` tokens; return False and take none if fewer are available."""
         now = time.monotonic()
-        if math.isfinite(self._per_s):
-            self._available = min(self._per_s, self._available + (now - self._filled_at) * self._per_s)
-        self._filled_at = now
-        if self._available < count:
+        if math.isfinite(self._rate_per_s):
+            self._tokens = min(self._rate_per_s, self._tokens + (now - self._refilled_at) * self._rate_per_s)
+        self._refilled_at = now
+        if self._tokens < count:
             return False
-        self._available -= count
+        self._tokens -= count
         return True
 
 
@@ -37,21 +37,25 @@
 
 
 class StateService:
-    """A small consistent store, in memory."""
+    """A linearizable in-memory key-value store, served over HTTP."""
 
     def __init__(self, rps: float = math.inf, write_rps: float = math.inf) -> None:
-        """`rps`, `write_rps`: requests and changes a second, bursts of one second's worth; beyond: 429."""
-        self._requests = _RateLimit(rps)
-        self._writes = _RateLimit(write_rps)
-        self.refused = 0
-        self.longest_unrenewed_s = 0.0  # of any lease: from one renewal to the next
+        """`rps` and `write_rps` limit requests and changed keys per second.
+
+        Requests beyond either limit are answered with 429. Bursts of one second's worth are allowed.
+        """
+        self._requests = _TokenBucket(rps)
+        self._writes = _TokenBucket(write_rps)
+        self.refused_requests = 0  # answered with 429
+        self.max_renewal_gap_s = 0.0  # longest time that any lease went without renewal
         self.controls = ServiceControls()
-        self._changed = threading.Condition()  # guards all that is stored; notified of each change
+        self._changed = threading.Condition()  # guards all stored data; notified on every change
         self._rows: dict[str, _Row] = {}
-        self._leases: dict[int, tuple[float, float]] = {}  # number -> when it expires, its TTL in seconds
+        # By lease ID: expiry on the monotonic clock and TTL, both in seconds.
+        self._leases: dict[int, tuple[float, float]] = {}
         self._log: list[dict[str, Any]] = []
         self.epoch = 1
-        self.changes = 0  # puts and deletions so far
+        self.changes = 0  # puts and deletions applied, including deletions of absent keys
         self._service = HttpService(self._handle, self.controls)
         self.address = self._service.address
 
@@ -60,20 +64,20 @@
         self._service.close()
 
     def values(self, prefix: str) -> dict[str, Any]:
-        """The values of all keys with this prefix."""
+        """Return the values of all keys with this prefix, by key."""
         with self._changed:
             return {key: row.value for key, row in self._rows.items() if key.startswith(prefix)}
 
     def history(self) -> list[Row]:
-        """All changes so far, in order; the value of a deleted key is None."""
+        """Return all changes in the order of their revisions; a deletion has the value None."""
         with self._changed:
             return [Row(c.get("set") or c["drop"], c.get("v"), c["stamp"]) for c in self._log]
 
     def _handle(self, request: Request) -> Response:
         changes = len(request.body.get("then", ())) if request.path == "/multi" else 0
         with self._changed:
-            if not self._requests.take(1) or not self._writes.take(changes):
-                self.refused += 1
+            if not self._requests.try_take(1) or not self._writes.try_take(changes):
+                self.refused_requests += 1
                 return Response(429)
         if request.path == "/multi":
             return self._transact(request.body)
@@ -141,11 +145,11 @@
 
     def _expire(self) -> None:
         now = time.monotonic()
-        for lease in [n for n, (until, _) in self._leases.items() if until < now]:
+        for lease in [n for n, (expires_at, _) in self._leases.items() if expires_at < now]:
             del self._leases[lease]
-            self._drop_keys_of(lease)
+            self._delete_keys_of_lease(lease)
 
-    def _drop_keys_of(self, lease: int) -> None:
+    def _delete_keys_of_lease(self, lease: int) -> None:
         keys = [key for key, row in self._rows.items() if row.lease == lease]
         if keys:
             self._apply([{"drop": key} for key in keys])
@@ -155,27 +159,27 @@
         with self._changed:
             self._expire()
             if len(segments) == 1:
-                number = self.epoch * 1000 + len(self._leases)
+                lease = self.epoch * 1000 + len(self._leases)
                 ttl_s = request.body["ttl_ms"] / 1000.0
-                self._leases[number] = (time.monotonic() + ttl_s, ttl_s)
-                return Response(200, {"permit": number})
-            number = int(segments[1])
-            if number not in self._leases:
+                self._leases[lease] = (time.monotonic() + ttl_s, ttl_s)
+                return Response(200, {"permit": lease})
+            lease = int(segments[1])
+            if lease not in self._leases:
                 return Response(404)
             if request.method == "DELETE":
-                del self._leases[number]
-                self._drop_keys_of(number)
+                del self._leases[lease]
+                self._delete_keys_of_lease(lease)
             else:
-                until, ttl_s = self._leases[number]
-                unrenewed_s = ttl_s - (until - time.monotonic())
-                self.longest_unrenewed_s = max(self.longest_unrenewed_s, unrenewed_s)
-                self._leases[number] = (time.monotonic() + ttl_s, ttl_s)
+                expires_at, ttl_s = self._leases[lease]
+                renewal_gap_s = ttl_s - (expires_at - time.monotonic())
+                self.max_renewal_gap_s = max(self.max_renewal_gap_s, renewal_gap_s)
+                self._leases[lease] = (time.monotonic() + ttl_s, ttl_s)
             return Response(200)
 
     def _watch(self, query: dict[str, str]) -> Response:
         since = int(query["since"])
         prefix = query.get("prefix", "")
-        until = time.monotonic() + int(query.get("block_ms", 0)) / 1000.0
+        deadline = time.monotonic() + int(query.get("block_ms", 0)) / 1000.0
         with self._changed:
             while True:
                 self._expire()
@@ -184,7 +188,7 @@
                     for c in self._log
                     if c["stamp"] > since and (c.get("set") or c["drop"]).startswith(prefix)
                 ]
-                remaining_s = until - time.monotonic()
+                remaining_s = deadline - time.monotonic()
                 if log or remaining_s <= 0:
                     return Response(200, {"epoch": self.epoch, "log": log})
                 self._changed.wait(min(remaining_s, 0.2))
--- a/standins/users.py
+++ b/standins/users.py
@@ -1,4 +1,4 @@
-"""Users who submit jobs at a rate, to any controller, and retry as the protocol says."""
+"""Stand-in users that submit jobs at a rate to random controllers and retry as the protocol requires."""
 
 import heapq
 import itertools
@@ -12,14 +12,14 @@
 from standins.admission_history import SubmissionAnswer
 from standins.site import Site
 
-MAX_RETRYING_S = 60.0  # how long a user retries a submission
-MIN_RETRY_S = 1.0  # the shortest pause before a retry
-THREADS = 24
+RETRY_LIMIT_S = 60.0  # a user stops retrying this long after the first request
+MIN_RETRY_DELAY_S = 1.0
+THREAD_COUNT = 24
 
 
 @dataclass
 class Submission:
-    """One job and the answers that its user got."""
+    """A submitted job and the responses to its submission; times on the monotonic clock."""
 
     job: dict[str, Any]
     first_at: float
@@ -27,39 +27,41 @@
     accepted_at: float | None = None
 
     @property
-    def given_up(self) -> bool:
-        """Whether its user has stopped retrying without an acceptance."""
-        return self.accepted_at is None and time.monotonic() - self.first_at > MAX_RETRYING_S
+    def has_given_up(self) -> bool:
+        """Whether the user has stopped retrying and the job was not accepted."""
+        return self.accepted_at is None and time.monotonic() - self.first_at > RETRY_LIMIT_S
 
 
 class Users:
-    """All users of a site, until `close`: some threads that submit and retry."""
+    """All users of a site: a pool of threads that submit jobs and retry until `close` is called."""
 
     def __init__(self, site: Site, seed: int) -> None:
         self._site = site
         self._rng = random.Random(seed)
-        self._order = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._scheduled: list[tuple[float, int, Submission]] = []
-        self._changed = (
-            threading.Condition()
-        )  # guards the submissions and the schedule; notified of each new entry
+        # Guards the submissions and the schedule; notified of each new entry of the schedule.
+        self._changed = threading.Condition()
         self._closed = False
         self.submissions: list[Submission] = []
-        for _ in range(THREADS):
-            threading.Thread(target=self._work, daemon=True).start()
+        for _ in range(THREAD_COUNT):
+            threading.Thread(target=self._run_submissions, daemon=True).start()
 
     def submit(self, job: dict[str, Any], run_s: float) -> None:
-        """Upload a job and begin to submit it."""
+        """Upload a job and schedule its submission."""
         self._site.fleet.upload(job, run_s)
         submission = Submission(job, time.monotonic())
         with self._changed:
             self.submissions.append(submission)
-            self._push(submission, submission.first_at)
+            self._schedule(submission, submission.first_at)
 
     def flood(
         self, make_job: Callable[[int], dict[str, Any]], per_s: float, seconds: float, run_s: float
     ) -> None:
-        """Submit jobs at a steady rate for some time; `make_job` is given their numbers."""
+        """Submit `per_s` jobs a second for `seconds`, evenly spaced; blocks until the last is scheduled.
+
+        `make_job` returns the job with the given number; `run_s` is the run time of each task.
+        """
         started_at = time.monotonic()
         for number in range(int(per_s * seconds)):
             wait_s = started_at + number / per_s - time.monotonic()
@@ -68,21 +70,21 @@
             self.submit(make_job(number), run_s)
 
     def all_answers(self) -> list[SubmissionAnswer]:
-        """All answers so far, by submission."""
+        """Return all responses received, grouped by submission."""
         with self._changed:
             return [answer for submission in self.submissions for answer in submission.answers]
 
     def close(self) -> None:
-        """Stop submitting."""
+        """Stop all threads; scheduled submissions are not sent."""
         with self._changed:
             self._closed = True
             self._changed.notify_all()
 
-    def _push(self, submission: Submission, at: float) -> None:
-        heapq.heappush(self._scheduled, (at, next(self._order), submission))
+    def _schedule(self, submission: Submission, at: float) -> None:
+        heapq.heappush(self._scheduled, (at, next(self._sequence_numbers), submission))
         self._changed.notify()
 
-    def _work(self) -> None:
+    def _run_submissions(self) -> None:
         while True:
             with self._changed:
                 while not self._closed and (not self._scheduled or self._scheduled[0][0] > time.monotonic()):
@@ -91,9 +93,9 @@
                     return
                 _, _, submission = heapq.heappop(self._scheduled)
                 controller = self._rng.choice(list(self._site.controllers.fronts))
-            self._attempt(submission, controller)
+            self._submit_once(submission, controller)
 
-    def _attempt(self, submission: Submission, controller: str) -> None:
+    def _submit_once(self, submission: Submission, controller: str) -> None:
         status, body, retry_after_s = self._site.controllers.request(
             controller, "POST", "/api/jobs", submission.job
         )
@@ -103,5 +105,5 @@
             submission.answers.append(SubmissionAnswer(controller, submission.job["id"], status, revision))
             if status in (200, 201):
                 submission.accepted_at = now
-            elif status not in (400, 422) and now - submission.first_at < MAX_RETRYING_S:
-                self._push(submission, now + max(MIN_RETRY_S, retry_after_s))
+            elif status not in (400, 422) and now - submission.first_at < RETRY_LIMIT_S:
+                self._schedule(submission, now + max(MIN_RETRY_DELAY_S, retry_after_s))
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -1,4 +1,4 @@
-"""Stand-in workers: one thread each, which sends heartbeats over real sockets, by PROTOCOL."""
+"""Stand-in workers that speak the workers' protocol (PROTOCOL) over real sockets, one thread each."""
 
 import http.client
 import json
@@ -9,13 +9,13 @@
 
 from standins.http_service import HttpService, Request, Response
 
-RESPONSE_TIMEOUT_S = 4.0  # of a heartbeat
-STEP_S = 0.05
+HEARTBEAT_TIMEOUT_S = 4.0
+POLL_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True)
 class MachineKind:
-    """A row of the cloud's catalog."""
+    """A machine type, as listed in the cloud's catalog."""
 
     label: str
     cpus: float
@@ -24,7 +24,7 @@
     rate: float = 0.2
 
     def catalog_row(self, zones: list[str]) -> dict[str, Any]:
-        """The row in the form of the cloud's API."""
+        """Return the catalog entry in the format of the cloud's API, offered in `zones`."""
         return {
             "label": self.label,
             "cpus": self.cpus,
@@ -41,15 +41,15 @@
 
 @dataclass
 class WorkerControls:
-    """Faults of one worker. Set at any time, by any thread."""
+    """Fault injection for one worker. Any thread may change the fields at any time."""
 
-    cut_from: set[str] = field(default_factory=set)  # controllers that its heartbeats don't reach
-    mute: bool = False  # its heartbeats reach no controller
-    hung: bool = False  # it does nothing at all, and its lease does not expire
-    fails: bool = False  # every task that it starts fails
-    delay_s: float = 0.0  # before each heartbeat
-    lose_answers: int = 0  # so many more responses to its heartbeats don't arrive
-    reclaim_notice_s: float | None = None  # announced in its heartbeats: the cloud takes it back
+    unreachable_controllers: set[str] = field(default_factory=set)  # heartbeats to them are lost
+    is_partitioned: bool = False  # heartbeats to all controllers are lost
+    is_hung: bool = False  # the worker does nothing; its lease does not expire
+    fails_tasks: bool = False  # every task fails on start
+    heartbeat_delay_s: float = 0.0  # waits this long before each heartbeat
+    responses_to_drop: int = 0  # number of next responses to heartbeats that are lost
+    reclaim_notice_s: float | None = None  # heartbeats announce a reclaim of the machine in this time
 
 
 @dataclass
@@ -60,63 +60,68 @@
     number: int
     phase: str = "pulling"
     cause: str | None = None
-    since: float = 0.0  # when the phase began, on the steady clock
+    phase_started_at: float = 0.0  # monotonic clock, seconds
 
-    def state(self) -> dict[str, Any]:
-        """Its entry in a heartbeat."""
+    def heartbeat_entry(self) -> dict[str, Any]:
+        """Return the entry for this attempt in a heartbeat."""
         return {"part": self.task_id, "try": self.number, "phase": self.phase, "cause": self.cause}
 
 
 @dataclass(frozen=True)
 class Event:
-    """A change of a task attempt; the order of events is their order in the history."""
+    """A state change of a task attempt. Events are ordered by their position in the history."""
 
     task_id: str
     number: int
     machine: str
-    what: str  # running, done, error, halted, lost, or forgotten: it had ended and was not reaped
-    at: float = field(default=0.0, compare=False)  # on the steady clock
+    # running, done, error or halted; if the worker dropped the attempt: lost (it had not ended) or forgotten
+    # (it had ended and was not yet reaped)
+    what: str
+    at: float = field(default=0.0, compare=False)  # monotonic clock, seconds
 
 
 class WorkerFleet:
-    """All workers, the jobs that users have uploaded, and the history of attempts."""
+    """All workers, the uploaded job descriptions, and the history of task attempts."""
 
     def __init__(self, controllers: dict[str, str], heartbeat_interval_s: float, lease_s: float) -> None:
-        """`controllers`: their addresses for workers and users, by name."""
+        """`controllers` maps each controller's name to its address for workers and users."""
         self.controllers = controllers
         self.heartbeat_interval_s = heartbeat_interval_s
         self.lease_s = lease_s
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.run_s: dict[str, float] = {}  # how long each task of a job runs
+        self.run_s: dict[str, float] = {}  # run time of each task, by job ID
         self.workers: dict[str, Worker] = {}
         self.history: list[Event] = []
-        self.fetches: list[tuple[str, str]] = []  # machine, image
-        self._launched = 0
+        self.fetches: list[tuple[str, str]] = []  # (machine name, image)
+        self._launch_count = 0
 
     def launch(self, kind: MachineKind, zone: str, spot: bool, images: tuple[str, ...] = ()) -> "Worker":
-        """A new machine that is up at once, with these images in its cache."""
-        self._launched += 1
-        worker = Worker(self, f"vm-{self._launched:06d}", kind, zone, spot, images)
+        """Start a new machine without boot time, with `images` in its cache."""
+        self._launch_count += 1
+        worker = Worker(self, f"vm-{self._launch_count:06d}", kind, zone, spot, images)
         self.workers[worker.name] = worker
         worker.start()
         return worker
 
     def delete(self, name: str) -> None:
-        """Delete a machine and all on it."""
+        """Delete a machine and its task attempts. Does nothing if the machine does not exist."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.stop()
 
     def upload(self, job: dict[str, Any], run_s: float) -> None:
-        """Store a job's description, as users do before they submit it. Its tasks run for `run_s` each."""
+        """Store a job's description, as users do before submitting it. Each of its tasks runs for `run_s`."""
         self.jobs[job["id"]] = job
         self.run_s[job["id"]] = run_s
 
     def cut_zone(self, zone: str, away: bool) -> None:
-        """Partition the machines of a zone from all controllers, or reconnect them. They run on meanwhile."""
+        """Partition the machines of a zone from all controllers if `away`, else reconnect them.
+
+        Partitioned machines keep running.
+        """
         for worker in list(self.workers.values()):
             if worker.zone == zone:
-                worker.controls.mute = away
+                worker.controls.is_partitioned = away
                 worker.refuse_commands(away)
 
     def close(self) -> None:
@@ -125,12 +130,12 @@
             self.delete(name)
 
     def loads(self) -> dict[str, float]:
-        """Share of its CPUs that each machine has in use."""
+        """Return the used fraction of each machine's CPUs, by machine name."""
         return {name: worker.used_cpus() / worker.kind.cpus for name, worker in list(self.workers.items())}
 
 
 class Worker:
-    """One machine and the worker on it. Its thread sends heartbeats; its service executes direct commands."""
+    """One machine and its worker: a thread sends heartbeats, an HTTP service executes direct commands."""
 
     def __init__(
         self, fleet: WorkerFleet, name: str, kind: MachineKind, zone: str, spot: bool, images: tuple[str, ...]
@@ -148,34 +153,34 @@
         self.tasks: dict[tuple[str, int], Attempt] = {}
         self.controller = next(iter(fleet.controllers))
         self._launched_at = self._lease_renewed_at = time.monotonic()
-        self._lock = threading.RLock()  # guards tasks, epoch, sequence and fencing token
-        self._changed = True
+        self._lock = threading.RLock()  # guards tasks, epoch, sequence number and fencing token
+        self._has_unreported_changes = True
         self._stopped = threading.Event()
         self._connection: tuple[str, http.client.HTTPConnection] | None = None
         self._service = HttpService(self._handle)
         self.address = self._service.address
 
     def start(self) -> None:
-        """Send heartbeats and run tasks in a thread of its own."""
+        """Start the thread that runs tasks and sends heartbeats."""
         threading.Thread(target=self._run, daemon=True).start()
 
     def stop(self) -> None:
-        """Stop, and lose all tasks."""
+        """Stop the worker and drop all its task attempts."""
         self._stopped.set()
         self._service.close()
         with self._lock:
             self._drop_all_tasks()
 
     def refuse_commands(self, refuse: bool) -> None:
-        """Whether direct commands get 503 from now on."""
-        self._service.controls.down = refuse
+        """Answer direct commands with 503 if `refuse`, else accept them again."""
+        self._service.controls.is_down = refuse
 
     def age_s(self) -> float:
-        """Seconds since its launch."""
+        """Return the seconds since the launch."""
         return time.monotonic() - self._launched_at
 
     def used_cpus(self) -> float:
-        """CPUs of the tasks that have not ended."""
+        """Return the CPUs of all attempts that have not ended."""
         with self._lock:
             return float(sum(self._job(a)["cpus"] for a in self.tasks.values() if a.phase != "ended"))
 
@@ -184,15 +189,15 @@
 
     def _run(self) -> None:
         sent_at = 0.0
-        while not self._stopped.wait(STEP_S):
-            if self.controls.hung:
+        while not self._stopped.wait(POLL_INTERVAL_S):
+            if self.controls.is_hung:
                 continue
             with self._lock:
                 self._advance_tasks()
             now = time.monotonic()
-            if now - sent_at >= (0.5 if self._changed else self.fleet.heartbeat_interval_s):
+            if now - sent_at >= (0.5 if self._has_unreported_changes else self.fleet.heartbeat_interval_s):
                 sent_at = now
-                self._changed = False
+                self._has_unreported_changes = False
                 self._send_heartbeat()
 
     # -- tasks -----------------------------------------------------------------------------------------
@@ -203,48 +208,48 @@
             self._drop_all_tasks()
             self.epoch += 1
             self._lease_renewed_at = now
-            self._changed = True
+            self._has_unreported_changes = True
         for attempt in self.tasks.values():
             if attempt.phase == "pulling":
                 self._fetch_image(attempt, now)
             elif (
                 attempt.phase == "running"
-                and now - attempt.since >= self.fleet.run_s[self._job(attempt)["id"]]
+                and now - attempt.phase_started_at >= self.fleet.run_s[self._job(attempt)["id"]]
             ):
                 attempt.cause = "done"
                 self._enter_phase(attempt, "ended", now)
 
     def _fetch_image(self, attempt: Attempt, now: float) -> None:
-        """Run the attempt once its image is there; images fetched at the same time share the link."""
+        """Enter phase `running` once the image is cached. Concurrent fetches share the link's bandwidth."""
         job = self._job(attempt)
         fetching = {self._job(a)["bundle"] for a in self.tasks.values() if a.phase == "pulling"}
         fetch_s = job["size_gb"] / self.kind.fetch_gb_per_s * len(fetching - self.images)
-        if job["bundle"] in self.images or now - attempt.since >= fetch_s:
+        if job["bundle"] in self.images or now - attempt.phase_started_at >= fetch_s:
             if job["bundle"] not in self.images:
                 self.images.add(job["bundle"])
                 self.fleet.fetches.append((self.name, job["bundle"]))
             self._enter_phase(attempt, "running", now)
 
     def _enter_phase(self, attempt: Attempt, phase: str, now: float) -> None:
-        attempt.phase, attempt.since = phase, now
-        self._changed = True
-        what = phase if phase == "running" else str(attempt.cause)
-        if what in ("running", "done", "halted", "error"):
-            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, what, now))
+        attempt.phase, attempt.phase_started_at = phase, now
+        self._has_unreported_changes = True
+        event_kind = phase if phase == "running" else str(attempt.cause)
+        if event_kind in ("running", "done", "halted", "error"):
+            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, event_kind, now))
 
     def _drop_all_tasks(self) -> None:
         now = time.monotonic()
         for attempt in self.tasks.values():
-            what = "forgotten" if attempt.phase == "ended" else "lost"
-            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, what, now))
+            event_kind = "forgotten" if attempt.phase == "ended" else "lost"
+            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, event_kind, now))
         self.tasks.clear()
 
     def _execute(self, command: dict[str, Any]) -> None:
         key = (command["part"], command["try"])
-        known = self.tasks.get(key)
+        existing = self.tasks.get(key)
         now = time.monotonic()
-        if command["verb"] == "start" and known is None:
-            attempt = Attempt(command["part"], command["try"], since=now)
+        if command["verb"] == "start" and existing is None:
+            attempt = Attempt(command["part"], command["try"], phase_started_at=now)
             job = self.fleet.jobs.get(attempt.task_id.partition("/")[0])
             other_attempt_runs = any(
                 a.task_id == attempt.task_id and a.phase != "ended" for a in self.tasks.values()
@@ -253,16 +258,16 @@
                 attempt.phase, attempt.cause = "ended", "busy" if job else "unknown"
             elif self.used_cpus() + job["cpus"] > self.kind.cpus + 1e-6:
                 attempt.phase, attempt.cause = "ended", "full"
-            elif self.controls.fails:
+            elif self.controls.fails_tasks:
                 attempt.cause = "error"
                 self._enter_phase(attempt, "ended", now)
             self.tasks[key] = attempt
-        elif command["verb"] == "halt" and known is not None and known.phase != "ended":
-            known.cause = "halted"
-            self._enter_phase(known, "ended", now)
-        elif command["verb"] == "reap" and known is not None and known.phase == "ended":
+        elif command["verb"] == "halt" and existing is not None and existing.phase != "ended":
+            existing.cause = "halted"
+            self._enter_phase(existing, "ended", now)
+        elif command["verb"] == "reap" and existing is not None and existing.phase == "ended":
             del self.tasks[key]
-        self._changed = True
+        self._has_unreported_changes = True
 
     # -- the protocol ----------------------------------------------------------------------------------
 
@@ -278,12 +283,12 @@
             "tick": self.sequence,
             "baton": self.fencing_token,
             "recall_s": self.controls.reclaim_notice_s,
-            "parts": [a.state() for a in self.tasks.values()],
+            "parts": [a.heartbeat_entry() for a in self.tasks.values()],
         }
 
     def _handle(self, request: Request) -> Response:
         with self._lock:
-            if request.path == "/commands" and not self.controls.hung:
+            if request.path == "/commands" and not self.controls.is_hung:
                 if request.body["baton"] < self.fencing_token or request.body["shift"] != self.epoch:
                     return Response(409, self._heartbeat())
                 self.fencing_token = request.body["baton"]
@@ -293,17 +298,17 @@
 
     def _send_heartbeat(self) -> None:
         controller = self.controller
-        if self.controls.delay_s:
-            time.sleep(self.controls.delay_s)
+        if self.controls.heartbeat_delay_s:
+            time.sleep(self.controls.heartbeat_delay_s)
         with self._lock:
             body = self._heartbeat()
             epoch = self.epoch
         sent_at = time.monotonic()
         status, response = 0, b""
-        if not self.controls.mute and controller not in self.controls.cut_from:
+        if not self.controls.is_partitioned and controller not in self.controls.unreachable_controllers:
             status, response = self._post(controller, json.dumps(body).encode())
-        if status and self.controls.lose_answers > 0:
-            self.controls.lose_answers -= 1
+        if status and self.controls.responses_to_drop > 0:
+            self.controls.responses_to_drop -= 1
             return
         if status == 200:
             self._on_response(json.loads(response), sent_at, epoch)
@@ -315,14 +320,14 @@
         else:
             self.controller = names[(names.index(controller) + 1) % len(names)]
             self._stopped.wait(1.0)
-        self._changed = True
+        self._has_unreported_changes = True
 
     def _on_response(self, response: dict[str, Any], sent_at: float, epoch: int) -> None:
         with self._lock:
             if epoch != self.epoch or response.get("baton", -1) < self.fencing_token:
                 return
             if response["baton"] > self.fencing_token:
-                self._changed = True
+                self._has_unreported_changes = True
             self.fencing_token = response["baton"]
             self._lease_renewed_at = max(self._lease_renewed_at, sent_at)
             for command in response["orders"]:
@@ -336,7 +341,7 @@
                 address = self.fleet.controllers[controller]
                 self._connection = (
                     controller,
-                    http.client.HTTPConnection(address, timeout=RESPONSE_TIMEOUT_S),
+                    http.client.HTTPConnection(address, timeout=HEARTBEAT_TIMEOUT_S),
                 )
             connection = self._connection[1]
             connection.request("POST", "/v1/report", body, {"Content-Type": "application/json"})
--- a/tools/deadline_bound.py
+++ b/tools/deadline_bound.py
@@ -1,13 +1,14 @@
-"""How many jobs no scheduler could finish by their deadlines, on days drawn from a site file.
+"""Compute an upper bound on the share of jobs that any scheduler could finish by their deadlines.
 
     python3 tools/deadline_bound.py SITE.toml [--days 50] [--seed 1]
 
-Draws arrivals, sizes, run times and boot times as the site file describes them, without any fault,
-and counts the jobs that could be in time if all work were fluid: spread over every CPU that is up, preempted
-and moved for nothing, known in advance. A job is late for sure if its longest task alone is, or if it does
-not fit into what the machines can do by its deadline together with the jobs that must be done before (Moore
-and Hodgson, which drops as few as possible). So no scheduler exceeds the share that is printed; how close one
-could come to it is not known. Lower priorities get what is left when all work of higher ones is done at once.
+Draws days of arrivals, sizes, run times and boot times from the distributions of the site file, without
+faults, and counts the jobs that could meet their deadlines if work were fluid: known in advance, spread over
+all CPUs that are up, and preempted and moved at no cost. A job is certainly late if its longest task alone
+takes too long, or if its work and that of the jobs due before it exceed what the machines can do by its
+deadline. In the latter case the Moore-Hodgson algorithm chooses the jobs to drop, as few as possible. No
+scheduler exceeds the share that is printed; how close one could come to it is not known. Lower priorities get
+the capacity that remains if all work of higher priorities is done without delay.
 """
 
 import argparse
@@ -22,47 +23,49 @@
 from pathlib import Path
 from typing import Any
 
-PRIORITIES = ("critical", "high", "normal", "idle")  # of site files, the highest first
-QUANTILE_95 = 1.6449  # of the standard normal distribution
-BOOT_FACTORS = (0.6, 1.5)  # of `boot_s`, by the protocol
+PRIORITIES = ("critical", "high", "normal", "idle")  # names in site files, the highest first
+QUANTILE_95 = 1.6449  # 95th percentile of the standard normal distribution
+BOOT_FACTORS = (0.6, 1.5)  # range of boot times as multiples of `boot_s`, given by the protocol
 
 
 @dataclass(frozen=True, slots=True)
 class DrawnJob:
-    """One job of a drawn day."""
+    """A job of a drawn day."""
 
     job_class: str
     priority: int  # an index of PRIORITIES
     arrives_s: float
     work: float  # CPU seconds
-    longest_s: float  # its longest task, its image fetched
-    due_s: float  # time of day of its deadline
+    longest_s: float  # run time of its longest task plus the fetch of its image
+    due_s: float  # deadline, seconds since the start of the day
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """CPUs that are up from each moment on, in the order of the moments."""
+    """The times at which machines come up, ascending, and the CPUs of each machine."""
 
     from_s: Sequence[float]
-    cpus: Sequence[float]  # of the machine that comes up at the same place of `from_s`
+    cpus: Sequence[float]  # CPUs of the machine that comes up at the same index of `from_s`
 
     def work_until(self, at_s: float) -> float:
-        """CPU seconds that all machines together can do until then."""
+        """Return the CPU seconds that all machines together provide until `at_s`."""
         up_count = bisect.bisect_right(self.from_s, at_s)
         return sum((at_s - self.from_s[n]) * self.cpus[n] for n in range(up_count))
 
 
-def lognormal(rng: random.Random, spread: dict[str, float]) -> float:
-    """A draw by median and 95th percentile, at most `max`."""
+def lognormal(rng: random.Random, distribution: dict[str, float]) -> float:
+    """Draw from a log-normal distribution given by `median` and `p95`, capped at `max`."""
     sigma = (
-        math.log(spread["p95"] / spread["median"]) / QUANTILE_95 if spread["p95"] > spread["median"] else 0.0
+        math.log(distribution["p95"] / distribution["median"]) / QUANTILE_95
+        if distribution["p95"] > distribution["median"]
+        else 0.0
     )
-    drawn = spread["median"] * math.exp(rng.gauss(0.0, sigma))
-    return min(drawn, spread.get("max", math.inf))
+    drawn = distribution["median"] * math.exp(rng.gauss(0.0, sigma))
+    return min(drawn, distribution.get("max", math.inf))
 
 
 def draw_job(rng: random.Random, kind: dict[str, Any], fetch_gb_per_s: float, arrives_s: float) -> DrawnJob:
-    """One job of a class of the site file."""
+    """Draw a job of the class `kind` of the site file."""
     tasks = max(1, round(lognormal(rng, kind["tasks"])))
     mean_s = lognormal(rng, kind["run_s"])
     vary = kind.get("vary", 0.0)
@@ -77,23 +80,26 @@
 
 
 def draw_day(rng: random.Random, site: dict[str, Any]) -> list[DrawnJob]:
-    """All jobs of one day."""
+    """Draw all jobs of one day."""
     fetch_gb_per_s = max(kind["fetch_gb_per_s"] for kind in site["machine_types"])
     drawn_jobs: list[DrawnJob] = []
     for kind in site["jobs"]:
         arrivals = kind["arrivals"]
-        moments = [0.0] * kind.get("initial", 0)
+        arrival_times = [0.0] * kind.get("initial", 0)
         at_s = arrivals["start_s"]
         while (
             arrivals["rate"] > 0 and (at_s := at_s + rng.expovariate(arrivals["rate"])) < arrivals["stop_s"]
         ):
-            moments.append(at_s)
-        drawn_jobs += [draw_job(rng, kind, fetch_gb_per_s, moment) for moment in moments]
+            arrival_times.append(at_s)
+        drawn_jobs += [draw_job(rng, kind, fetch_gb_per_s, arrives_s) for arrives_s in arrival_times]
     return drawn_jobs
 
 
 def draw_capacity(rng: random.Random, site: dict[str, Any]) -> Capacity:
-    """All machines that the cloud has, launched at once; those of `machines` are up from the start."""
+    """Draw the boot times of all machines of the cloud, launched at time 0.
+
+    As many as the site file lists under `machines` are up from the start.
+    """
     types = {kind["name"]: kind for kind in site["machine_types"]}
     up_at: list[tuple[float, float]] = []
     for row in site["capacity"]:
@@ -105,28 +111,30 @@
     return Capacity([at_s for at_s, _ in up_at], [cpus for _, cpus in up_at])
 
 
-def max_in_time(jobs: Sequence[DrawnJob], capacity: Capacity, taken: Sequence[DrawnJob] = ()) -> int:
-    """The largest number of these jobs that can meet their deadlines, with the work of `taken` done before.
+def max_in_time(jobs: Sequence[DrawnJob], capacity: Capacity, higher_jobs: Sequence[DrawnJob] = ()) -> int:
+    """Return the largest number of `jobs` that can meet their deadlines after the work of `higher_jobs`.
 
-    Of `taken`, what has arrived by a deadline reduces the capacity until then.
+    At each deadline, the work of those `higher_jobs` that have arrived by then reduces the capacity.
     """
-    in_time_work: list[float] = []  # a heap of the work of the jobs in time, negated: the largest first
+    in_time_work: list[float] = []  # heap of the negated work of the jobs in time, the largest work first
     demand = 0.0  # CPU seconds
     for job in sorted(jobs, key=lambda job: job.due_s):
-        if job.arrives_s + job.longest_s > job.due_s or job.work > _max_work(job, job.due_s, capacity):
+        if job.arrives_s + job.longest_s > job.due_s or job.work > _available_work(job, job.due_s, capacity):
             continue
         heapq.heappush(in_time_work, -job.work)
         demand += job.work
         if math.isinf(job.due_s):
             continue
-        taken_work = sum(min(other.work, _max_work(other, job.due_s, capacity)) for other in taken)
-        while in_time_work and demand + taken_work > capacity.work_until(job.due_s):
+        higher_work = sum(
+            min(other.work, _available_work(other, job.due_s, capacity)) for other in higher_jobs
+        )
+        while in_time_work and demand + higher_work > capacity.work_until(job.due_s):
             demand += heapq.heappop(in_time_work)
     return len(in_time_work)
 
 
-def _max_work(job: DrawnJob, at_s: float, capacity: Capacity) -> float:
-    """CPU seconds that all machines together can spend on a job until `at_s`."""
+def _available_work(job: DrawnJob, at_s: float, capacity: Capacity) -> float:
+    """Return the CPU seconds that all machines together provide from the job's arrival until `at_s`."""
     return (
         max(0.0, capacity.work_until(at_s) - capacity.work_until(job.arrives_s))
         if at_s > job.arrives_s
@@ -135,7 +143,7 @@
 
 
 def bounds(site: dict[str, Any], days: int, seed: int) -> dict[str, tuple[float, float]]:
-    """Per class: the share that could be in time if it were alone, and if higher priorities come first."""
+    """Return for each class the share of jobs that could be in time: alone, and after higher priorities."""
     counts: dict[str, list[int]] = {kind["name"]: [0, 0, 0] for kind in site["jobs"]}
     rng = random.Random(seed)
     for _ in range(days):
@@ -151,7 +159,7 @@
 
 
 def main() -> int:
-    """Print the bounds of one site."""
+    """Print the bounds for one site file."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("site", type=Path)
     parser.add_argument("--days", type=int, default=50)
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -1,11 +1,12 @@
-"""A small site on loopback under a flood of submissions: the results of each class.
+"""Run a small site on loopback under a flood of submissions and print the results per job class.
 
     python3 tools/flood_trial.py                       # half a minute at the load that the site serves
     python3 tools/flood_trial.py --times 1 3 10 --seconds 60 --seeds 1 2 --admission off on --ends
 
-Three real controllers, stand-in workers, cloud and state service in real time. `--times`: submissions as a
-multiple of what the site serves; most are sweeps of one team, urgent builds keep their rate. `--ends`: the
-leader and another controller are killed in the flood and come back. Not for CI.
+Runs three real controllers with stand-in workers, cloud and state service in real time. `--times` is the
+submission rate as a multiple of the rate that the site serves; most submissions are sweeps of one team, and
+urgent builds keep their rate. `--ends` kills the leader and another controller during the flood and restarts
+them. Not run in CI.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "target" / "deps")]
 
-# E402: the modules below are found on the path that is set above.
+# E402: these imports need the path set above.
 from bayford.admission.level import Flow  # noqa: E402
 from bayford.scheduling.model import PRIORITIES  # noqa: E402
 from standins.admission_history import against_level, refused_wrongly  # noqa: E402
@@ -34,11 +35,11 @@
 from standins.users import Submission, Users  # noqa: E402
 
 WRITE_RPS, RPS = 15.0, 100.0
-SERVED_PER_S = 4.0  # one-task jobs: an acceptance, an end and a part of a row each
+SERVED_PER_S = 4.0  # one-task jobs; each costs an acceptance, a completion and part of a row in writes
 MACHINES = 6
 RUN_S = 2.0
 TEAMS = {"builders": 16.0, "mirrors": 8.0, "guests": 0.0}
-BUILDS_PER_S = 0.8  # urgent ones, whatever the flood
+BUILDS_PER_S = 0.8  # urgent builds, independent of the rate of the flood
 BUILDS = (("hot-builds", "urgent", "builders"), ("hot-builds", "urgent", "mirrors"))
 FLOOD = (
     *(("rebuild-sweep", "normal", "builders"),) * 6,
@@ -46,26 +47,26 @@
     ("mirror-trickle", "idle", "mirrors"),
 )
 KEEP_IDLE = "keep_idle_s = 1e6\nsurplus_idle_s = 1e6\ndear_idle_s = 1e6\n"
-SETTLE_S = 70.0  # users repeat for so long; then the rest has to end
+SETTLE_S = 70.0  # longer than the users retry, so that all retries have ended
 REQUEST_COUNTS_LINE = re.compile(
     r"store requests: component=(\w+) requests=(\d+) changes=(\d+) refused=(\d+)"
 )
 
 
 def make_job(rng: random.Random, number: int, per_s: float) -> dict[str, Any]:
-    """A one-task job, one of so many a second."""
+    """Return a random one-task job for a total submission rate of `per_s`."""
     urgent = rng.random() < BUILDS_PER_S / per_s
     job_class, rank, team = rng.choice(BUILDS if urgent else FLOOD)
     return job(number, f"img-{job_class}", 1, job_class, rank=rank, crew=team, size_gb=0.1, guess_s=RUN_S)
 
 
 def flow_of(submitted: dict[str, Any]) -> Flow:
-    """The flow that admission counts a submission to."""
+    """Return the flow that admission control assigns a submission to."""
     return Flow(PRIORITIES.index(submitted["rank"]), submitted["lane"], submitted["crew"])
 
 
-def kill_controllers(site: Site, seconds: float) -> None:
-    """Kill the leader and another controller after a third of the time, and restart them after 3 s."""
+def kill_and_restart_controllers(site: Site, seconds: float) -> None:
+    """Kill the leader and another controller after a third of `seconds`; restart them 3 s later."""
     time.sleep(seconds / 3)
     leader = site.leader() or "n0"
     killed = [leader, next(name for name in site.controllers.fronts if name != leader)]
@@ -76,16 +77,16 @@
         site.start(name)
 
 
-def percentiles(values: Sequence[float]) -> str:
-    """The 50th, 90th and 99th, in columns."""
+def format_percentiles(values: Sequence[float]) -> str:
+    """Format the 50th, 90th and 99th percentiles as columns."""
     if len(values) < 2:
         return f"{values[0]:5.1f}     -     -" if values else "    -     -     -"
     cuts = statistics.quantiles(values, n=100, method="inclusive")
     return f"{cuts[49]:5.1f} {cuts[89]:5.1f} {cuts[98]:5.1f}"
 
 
-def class_line(site: Site, job_class: str, submissions: list[Submission]) -> str:
-    """The line of the table for one class."""
+def format_class_row(site: Site, job_class: str, submissions: list[Submission]) -> str:
+    """Format the table row of one job class."""
     of_class = [s for s in submissions if s.job["lane"] == job_class]
     started_at: dict[str, float] = {}
     done = set()
@@ -107,12 +108,12 @@
     return (
         f"  {job_class:15} {len(of_class):7d} {len(accepted):8d} "
         f"{statuses.count(429):7d} {statuses.count(503):6d} {len(of_class) - len(accepted):8d} {ended:6d}"
-        f"    {percentiles(waits)}   {percentiles(waits_after_acceptance)}"
+        f"    {format_percentiles(waits)}   {format_percentiles(waits_after_acceptance)}"
     )
 
 
-def requests_line(site: Site) -> str:
-    """The requests that the state service refused, by component, from the controllers' logs."""
+def format_request_counts(site: Site) -> str:
+    """Format the counts of requests to the state service per component, from the controllers' logs."""
     counts: dict[str, list[int]] = {}
     for name in site.controllers.fronts:
         log = site.controllers.log(name)
@@ -128,7 +129,7 @@
 
 
 def show_progress(users: Users, seconds: float, finished: threading.Event) -> None:
-    """Show on standard error how far the trial is, until it is finished."""
+    """Print the progress of the trial to standard error every second until `finished` is set."""
     started = time.monotonic()
     while not finished.wait(1.0):
         accepted = sum(s.accepted_at is not None for s in users.submissions)
@@ -143,10 +144,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
-    """One run: `times` what the site serves, for so long. `kill`: whether controllers are killed."""
+class TrialSetup:
+    """The parameters of one run.
 
-    times: float
+    `load_factor` is the submission rate as a multiple of the rate that the site serves. If `kill` is set, two
+    controllers are killed and restarted during the flood.
+    """
+
+    load_factor: float
     seconds: float
     seed: int
     admission: bool
@@ -154,19 +159,19 @@
 
     @property
     def settle_s(self) -> float:
-        """Seconds for which the users retry after the flood."""
-        return SETTLE_S if self.times > 1 else 8.0
+        """Seconds after the flood during which the users still retry."""
+        return SETTLE_S if self.load_factor > 1 else 8.0
 
     def title(self) -> str:
-        """The line above the table."""
+        """Return the heading of the table."""
         return (
-            f"{self.times:g} times what the site serves, {self.seconds:.0f} s, seed {self.seed}, admission "
-            f"{'on' if self.admission else 'off'}{', controllers end' if self.kill else ''}"
+            f"{self.load_factor:g} times what the site serves, {self.seconds:.0f} s, seed {self.seed}, "
+            f"admission {'on' if self.admission else 'off'}{', controllers end' if self.kill else ''}"
         )
 
 
-def trial(setup: Setup, folder: Path) -> bool:
-    """One run; prints its table. Whether the checks found no violation."""
+def run_trial(setup: TrialSetup, folder: Path) -> bool:
+    """Run one trial and print its table; return whether the checks found no violation."""
     script = KEEP_IDLE + f"admission = {setup.admission}\nadmission_clear_s = 5.0\n"
     state = StateService(RPS, WRITE_RPS)
     with Site(folder, script, MACHINES, teams=TEAMS, state=state) as site:
@@ -176,21 +181,22 @@
         time.sleep(2.0)
         users = Users(site, setup.seed)
         writes_per_s = run_flood(site, users, setup)
-        time.sleep(16.0 if setup.times > 1 else 6.0)  # the rest ends, and the controllers log their counts
+        # The remaining jobs complete, and the controllers log their request counts.
+        time.sleep(16.0 if setup.load_factor > 1 else 6.0)
         print_results(site, users, setup, writes_per_s)
-        return print_violations(site, users)
+        return report_violations(site, users)
 
 
-def run_flood(site: Site, users: Users, setup: Setup) -> float:
-    """Submit until the flood is over and users have settled; changes of the store a second in the flood."""
+def run_flood(site: Site, users: Users, setup: TrialSetup) -> float:
+    """Run the flood, then wait for retries; return the changes per second in the store during the flood."""
     rng = random.Random(setup.seed)
     finished = threading.Event()
-    show = (users, setup.seconds + setup.settle_s, finished)
-    threading.Thread(target=show_progress, args=show, daemon=True).start()
+    progress_args = (users, setup.seconds + setup.settle_s, finished)
+    threading.Thread(target=show_progress, args=progress_args, daemon=True).start()
     if setup.kill:
-        threading.Thread(target=kill_controllers, args=(site, setup.seconds), daemon=True).start()
+        threading.Thread(target=kill_and_restart_controllers, args=(site, setup.seconds), daemon=True).start()
     started, changes = time.monotonic(), site.state.changes
-    per_s = SERVED_PER_S * setup.times
+    per_s = SERVED_PER_S * setup.load_factor
     users.flood(lambda n: make_job(rng, n, per_s), per_s, setup.seconds, RUN_S)
     writes_per_s = (site.state.changes - changes) / (time.monotonic() - started)
     time.sleep(setup.settle_s)
@@ -199,36 +205,36 @@
     return writes_per_s
 
 
-def print_results(site: Site, users: Users, setup: Setup, writes_per_s: float) -> None:
-    """The table of classes, and the load of the state service."""
+def print_results(site: Site, users: Users, setup: TrialSetup, writes_per_s: float) -> None:
+    """Print the table of job classes and the load of the state service."""
     print(setup.title())
     print(
         "  class           offered accepted refused    503 given up   done   "
         "wait 50, 90, 99%   after acceptance"
     )
     for job_class in ("hot-builds", "rebuild-sweep", "mirror-trickle"):
-        print(class_line(site, job_class, users.submissions))
+        print(format_class_row(site, job_class, users.submissions))
     print(
         f"  state service: {writes_per_s:.1f} changes a second in the flood, "
-        f"{site.state.refused} requests refused, "
-        f"{site.state.longest_unrenewed_s:.1f} s the longest without a renewed lease"
+        f"{site.state.refused_requests} requests refused, "
+        f"{site.state.max_renewal_gap_s:.1f} s the longest without a renewed lease"
     )
-    print(f"  {requests_line(site)}", flush=True)
+    print(f"  {format_request_counts(site)}", flush=True)
 
 
-def print_violations(site: Site, users: Users) -> bool:
-    """Check the histories of admission and of task attempts. Whether they hold no violation."""
+def report_violations(site: Site, users: Users) -> bool:
+    """Print violations in the histories of admission and task attempts; return whether there are none."""
     flows = {s.job["id"]: flow_of(s.job) for s in users.submissions}
     history = site.state.history()
     violations = [*against_level(history, flows), *refused_wrongly(history, users.all_answers(), flows)]
-    twice = ran_twice(site.fleet.history)
-    if violations or twice:
-        print(f"  WRONG: against their level {violations[:5]}; ran twice {twice[:5]}")
-    return not violations and not twice
+    tasks_run_twice = ran_twice(site.fleet.history)
+    if violations or tasks_run_twice:
+        print(f"  WRONG: against their level {violations[:5]}; ran twice {tasks_run_twice[:5]}")
+    return not violations and not tasks_run_twice
 
 
 def main() -> int:
-    """Print a table for each run."""
+    """Run a trial for each combination of the options; return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--times", type=float, nargs="+", default=[1.0])
     parser.add_argument("--seconds", type=float, default=20.0)
@@ -241,8 +247,8 @@
         for admission in args.admission:
             for seed in args.seeds:
                 with tempfile.TemporaryDirectory() as folder:
-                    setup = Setup(times, args.seconds, seed, admission == "on", args.ends)
-                    passed &= trial(setup, Path(folder))
+                    setup = TrialSetup(times, args.seconds, seed, admission == "on", args.ends)
+                    passed &= run_trial(setup, Path(folder))
     return 0 if passed else 1
 
 
--- a/tools/leader_cost.py
+++ b/tools/leader_cost.py
@@ -1,18 +1,19 @@
-"""What a leader's decisions cost by the size of the fleet: processor time and memory, in memory alone.
+"""Measure processor time and memory of a leader's decisions by fleet size, in memory only.
 
     python3 tools/leader_cost.py [--machines 48 500 4000] [--seed 1]
 
-Builds the scheduler of one controller with that many simulated machines of four CPUs, without sockets and
-threads, and runs it through a start and a full fleet with a backlog, at first of normal, then of urgent
-priority. Each size runs in a process of its own. Figures are processor time of this machine, not simulated:
-
-start ms     one scheduling round that places the first tasks on an idle fleet (`placed` of them)
-full ms      a round on the full fleet with a backlog, the median of 9
-urgent ms    a round with urgent jobs in the backlog, the maximum of 9
-report us    a heartbeat and its response, the mean over the fleet, the median of 3
-fleet ms     an autoscaling step, the median of 5
-MB           resident memory that the fleet and its work added
-writes       transactions that made the placements durable; rows: rows of the task log then
+Builds the scheduler of one controller with the given number of simulated four-CPU machines, without sockets
+and threads. Places tasks on the idle fleet, fills it, and then runs rounds with a backlog of normal and later
+urgent jobs. Each size runs in its own process. Times are processor time of this machine, not simulated time:
+
+start ms     one scheduling round that places the first tasks (`placed`) on the idle fleet
+full ms      one round on the full fleet with a backlog, median of 9
+urgent ms    one round with urgent jobs in the backlog, maximum of 9
+report us    one heartbeat and its response, mean over the fleet, median of 3
+fleet ms     one autoscaling step, median of 5
+MB           increase of resident memory by the fleet and its tasks
+writes       transactions that made the placements durable
+rows         rows of the task log after these transactions
 """
 
 import argparse
@@ -27,7 +28,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-# E402: the modules below are found on the path that is set above.
+# E402: these imports need the path set above.
 from bayford.config import Settings, parse
 from bayford.coordination.leader.leader_events import LeaderListener
 from bayford.coordination.leader.recovered_state import RecoveredState
@@ -74,17 +75,17 @@
 
 
 class SimulatedFleet:
-    """A leader's scheduler with `count` machines, and the task log that it writes."""
+    """A leader's scheduler with `count` simulated machines and its task log."""
 
     def __init__(self, count: int, seed: int, policy: Policy) -> None:
         self.now = 1000.0
         settings: Settings = parse(SETTINGS)
         self.scheduler = Scheduler(settings, policy, lambda: self.now, lambda: self.now, random.Random(seed))
-        self.task_log = TaskLog(value_bytes())
+        self.task_log = TaskLog(max_value_bytes())
         self.scheduler.connect(self, LeaderListener())
         self.rng = random.Random(seed)
         self.version = 1
-        self.jobs = 0
+        self.job_count = 0
         self.sequences = dict.fromkeys((f"vm-{n:06d}" for n in range(count)), 0)
         self.scheduler.set_types([TYPE])
         self.scheduler.recover(RecoveredState(term=1, fencing_token=1, as_of=self.now))
@@ -93,14 +94,14 @@
             self.heartbeat(name)
 
     def with_task_log(self, call: Callable[[TaskLog], Result]) -> Result:
-        """See `TaskLogSource`."""
+        """Implement `TaskLogSource`."""
         return call(self.task_log)
 
     def _listed(self, n: int, name: str) -> Listed:
         return Listed(name, "10.0.0.1:9", TYPE.name, TYPE.zones[n % 2], True, "running", 30.0)
 
     def heartbeat(self, name: str) -> None:
-        """One heartbeat of a machine, on which all durable placements run, and the response to it."""
+        """Process a heartbeat in which all durable placements of a machine are running, and its response."""
         scheduler = self.scheduler
         self.sequences[name] += 1
         machine = scheduler.state.machines.get(scheduler.state.machine_names.index(name))
@@ -119,16 +120,16 @@
         scheduler.on_answered(index, heartbeat, commands)
 
     def heartbeat_all(self, names: list[str]) -> None:
-        """A heartbeat of each of these machines."""
+        """Process one heartbeat of each of these machines."""
         for name in names:
             self.heartbeat(name)
 
     def submit(self, tasks: int, priority: str = "normal", cpus: float = 1.0, images: int = 40) -> None:
-        """Submit a job of that many tasks; its image is drawn from `images` ones."""
-        self.jobs += 1
+        """Submit a job with this number of tasks and one of `images` images, drawn at random."""
+        self.job_count += 1
         self.version += 1
         spec = JobSpec(
-            id=f"req-{self.jobs:06d}",
+            id=f"req-{self.job_count:06d}",
             job_class=f"class-{priority}",
             team="open",
             priority=PRIORITIES.index(priority),
@@ -151,7 +152,7 @@
         self.scheduler.reconcile_job(records.Record(spec, self.now), self.version)
 
     def commit_all(self) -> int:
-        """Make all changes durable; the number of transactions that took."""
+        """Make all changes durable; return the number of transactions."""
         count = 0
         while (batch := self.scheduler.take_batch(TXN_OPS)) is not None:
             self.version += 1
@@ -162,61 +163,62 @@
             count += 1
         return count
 
-    def round(self) -> None:
-        """One scheduling round, ROUND_S of simulated time after the previous one."""
+    def run_round(self) -> None:
+        """Run a scheduling round, ROUND_S of simulated time after the previous one."""
         self.now += ROUND_S
         self.scheduler.round()
 
 
-def value_bytes() -> int:
-    """The largest value that the state service takes, in bytes."""
+def max_value_bytes() -> int:
+    """Return the largest value that the state service accepts, in bytes."""
     return int(VALUE_KB * 1024)
 
 
-def cpu_ms(
+def measure_cpu_ms(
     call: Callable[[], object], times: int, statistic: Callable[[list[float]], float] = statistics.median
 ) -> float:
-    """Processor time of a call in ms: the median, or another `statistic`, of so many calls."""
+    """Return `statistic` of the processor times, in ms, of `times` calls of `call`."""
     durations_ms = []
     for _ in range(times):
-        began_s = time.process_time()
+        started_s = time.process_time()
         call()
-        durations_ms.append((time.process_time() - began_s) * 1e3)
+        durations_ms.append((time.process_time() - started_s) * 1e3)
     return statistic(durations_ms)
 
 
 def memory_mb() -> float:
-    """Resident memory of this process in MB, 0 where /proc doesn't say."""
+    """Return the resident memory of this process in MB, 0 if /proc does not list it."""
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-def measure(count: int, seed: int, policy: Policy) -> str:
-    """The line of the table for a fleet of `count` machines."""
+def measure_fleet(count: int, seed: int, policy: Policy) -> str:
+    """Return the table row for a fleet of `count` machines."""
     memory_before_mb = memory_mb()
     fleet = SimulatedFleet(count, seed, policy)
     total_cpus = int(count * CPUS)
-    initial_tasks = 20 * 40  # the same for every size, if the fleet can hold them
+    initial_tasks = 20 * 40  # the same for every fleet size that can hold them
     for _ in range(20):
         fleet.submit(min(40, total_cpus // 24))
-    start_ms = cpu_ms(fleet.round, 1)
+    start_ms = measure_cpu_ms(fleet.run_round, 1)
     while sum(len(m.open) for m in fleet.scheduler.state.machines.values()) < total_cpus:
         fleet.submit(200)
-        fleet.round()
+        fleet.run_round()
     transactions = fleet.commit_all()
     names = list(fleet.sequences)
     for name in names:
         fleet.heartbeat(name)
-    report_us = cpu_ms(lambda: fleet.heartbeat_all(names), 3) / count * 1e3
+    report_us = measure_cpu_ms(lambda: fleet.heartbeat_all(names), 3) / count * 1e3
     for _ in range(10):
         fleet.submit(40)
-    full_ms = cpu_ms(fleet.round, 9)
+    full_ms = measure_cpu_ms(fleet.run_round, 9)
     for _ in range(10):
         fleet.submit(40, "urgent")
-    urgent_ms = cpu_ms(fleet.round, 9, max)  # not every round searches for tasks to preempt
-    fleet_ms = cpu_ms(lambda: fleet.scheduler.scaling_step(fleet.now), 5)
+    # The maximum, because not every round searches for tasks to preempt.
+    urgent_ms = measure_cpu_ms(fleet.run_round, 9, max)
+    fleet_ms = measure_cpu_ms(lambda: fleet.scheduler.scaling_step(fleet.now), 5)
     rows = len(fleet.task_log.segments)
     placed = min(initial_tasks, total_cpus)
     return (
@@ -225,20 +227,20 @@
     )
 
 
-def _in_process(count: int, seed: int, policy: Policy) -> str:
+def _measure_in_subprocess(count: int, seed: int, policy: Policy) -> str:
     with multiprocessing.get_context("spawn").Pool(1) as pool:
-        return pool.apply(measure, (count, seed, policy))
+        return pool.apply(measure_fleet, (count, seed, policy))
 
 
 def main() -> None:
-    """Print a table with a line for each size."""
+    """Print a table with a row per fleet size."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--machines", type=int, nargs="+", default=[48, 500, 4000])
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
     print("machines  start ms   full ms urgent ms  report us  fleet ms    MB   writes   rows  placed")
     for count in args.machines:
-        print(_in_process(count, args.seed, Policy()), flush=True)
+        print(_measure_in_subprocess(count, args.seed, Policy()), flush=True)
 
 
 if __name__ == "__main__":
--- a/tools/spread_trial.py
+++ b/tools/spread_trial.py
@@ -1,10 +1,11 @@
-"""Load spread on a stand-in site: a burst on twenty machines, with locality alone, balance alone and both.
+"""Compare load spreading by locality alone, balance alone and both, in a burst on twenty machines.
 
     python3 tools/spread_trial.py [--seeds 1 2] [--variants off locality balance both]
 
-Real controllers and stand-in workers on loopback. Mirror jobs with checkpoints run on five machines; fifteen
-more machines join, and a burst of urgent builds comes whose images lie on three of them. Prints, for each
-run, the highest load over the average through the burst, waits, fetches and restarts. Not for CI.
+Runs real controllers and stand-in workers on loopback. Mirror jobs with checkpoints run on five machines.
+Fifteen more machines join, and a burst of urgent builds is submitted whose images are cached on three of
+them. Prints for each run the ratio of the highest to the average load during the burst, waits, fetches and
+restarts. Not run in CI.
 """
 
 import argparse
@@ -18,16 +19,16 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-# E402: the modules below are found on the path that is set above.
+# E402: these imports need the path set above.
 from standins.site import KIND, Site, await_state, job
 
 KEEP_IDLE = "keep_idle_s = 1e6\nsurplus_idle_s = 1e6\ndear_idle_s = 1e6\n"
-ON = "spread = True\nspread_rest_s = 5.0\nspread_every_s = 2.0\n" + KEEP_IDLE
+SPREAD_ON = "spread = True\nspread_rest_s = 5.0\nspread_every_s = 2.0\n" + KEEP_IDLE
 VARIANTS = {
     "off": KEEP_IDLE,
-    "locality": ON + "spread_load_s = 0.0\nspread_threshold = 1e6\n",
-    "balance": ON + "spread_fetch_weight = 0.0\nspread_affinity_s = 0.0\n",
-    "both": ON,
+    "locality": SPREAD_ON + "spread_load_s = 0.0\nspread_threshold = 1e6\n",
+    "balance": SPREAD_ON + "spread_fetch_weight = 0.0\nspread_affinity_s = 0.0\n",
+    "both": SPREAD_ON,
 }
 INITIAL_MACHINES, MACHINES = 5, 20
 IMAGE_GB = 1.0
@@ -36,15 +37,15 @@
 
 @dataclass(slots=True)
 class Burst:
-    """What was measured during a burst of builds; times on the steady clock."""
+    """Measurements during a burst of builds; times on the monotonic clock, in seconds."""
 
-    submitted_at: dict[str, float] = field(default_factory=dict)  # by job
-    started_at: dict[str, float] = field(default_factory=dict)  # by task
-    load_ratios: list[float] = field(default_factory=list)  # the highest load over the average, ten a second
+    submitted_at: dict[str, float] = field(default_factory=dict)  # by job ID
+    started_at: dict[str, float] = field(default_factory=dict)  # by task ID
+    load_ratios: list[float] = field(default_factory=list)  # highest load / average load, sampled every 0.1 s
 
 
-def trial(script: str, seed: int, folder: Path) -> str:
-    """The line of the table for one run."""
+def run_trial(script: str, seed: int, folder: Path) -> str:
+    """Run one trial and return its table row."""
     with Site(folder, script, MACHINES) as site:
         for _ in range(INITIAL_MACHINES):
             site.fleet.launch(KIND, "north", True)
@@ -52,11 +53,11 @@
         for n in range(MACHINES - INITIAL_MACHINES):
             site.fleet.launch(KIND, "south", True, (f"img-{n}",) if n < 3 else ())
         burst = run_burst(site, random.Random(seed))
-        return results_line(site, burst)
+        return format_results(site, burst)
 
 
 def start_mirrors(site: Site) -> None:
-    """Run mirror jobs that take checkpoints until a machine is full."""
+    """Submit mirror jobs that take checkpoints, wait until a machine is fully loaded, then 6 s more."""
     mirrors = [
         job(
             500 + n,
@@ -78,19 +79,19 @@
 
 
 def run_burst(site: Site, rng: random.Random) -> Burst:
-    """Submit urgent builds for BURST_S, the first after 4 s, and watch loads and starts."""
+    """Sample loads and task starts for BURST_S; submit urgent builds from 4 s on."""
     burst = Burst()
-    began = time.monotonic()
+    burst_started_at = time.monotonic()
     builds = 0
-    while (now := time.monotonic()) - began < BURST_S:
-        if builds < 24 and now - began > 4.0 + builds * 0.5:
+    while (now := time.monotonic()) - burst_started_at < BURST_S:
+        if builds < 24 and now - burst_started_at > 4.0 + builds * 0.5:
             build = job(builds, f"img-{rng.randrange(3)}", rng.randrange(1, 5), size_gb=IMAGE_GB)
             burst.submitted_at[build["id"]] = time.monotonic()
             site.submit(build, run_s=rng.uniform(4.0, 12.0))
             builds += 1
         loads = list(site.fleet.loads().values())
         average = sum(loads) / len(loads)
-        if average > 0 and now - began > 4.0:
+        if average > 0 and now - burst_started_at > 4.0:
             burst.load_ratios.append(max(loads) / average)
         for event in list(site.fleet.history):
             if event.what == "running":
@@ -99,8 +100,8 @@
     return burst
 
 
-def results_line(site: Site, burst: Burst) -> str:
-    """Loads, waits, fetches and restarts, in columns."""
+def format_results(site: Site, burst: Burst) -> str:
+    """Format loads, waits, fetches and restarts as columns."""
     submitted_at, ratios = burst.submitted_at, burst.load_ratios
     waits = [
         at - submitted_at[task[:10]] for task, at in burst.started_at.items() if task[:10] in submitted_at
@@ -115,7 +116,7 @@
 
 
 def main() -> None:
-    """Print a table with a line for each run."""
+    """Print a table with a row per run."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2])
     parser.add_argument("--variants", nargs="+", choices=list(VARIANTS), default=list(VARIANTS))
@@ -126,7 +127,7 @@
     for variant in args.variants:
         for seed in args.seeds:
             with tempfile.TemporaryDirectory() as folder:
-                line = trial(VARIANTS[variant], seed, Path(folder))
+                line = run_trial(VARIANTS[variant], seed, Path(folder))
             print(f"{variant:9} {seed:3d} {line}", flush=True)
 
 
--- a/tools/task_log_crosscheck.py
+++ b/tools/task_log_crosscheck.py
@@ -1,11 +1,12 @@
-"""Play the task log of the version in production against this one's, outside CI: it needs the history.
+"""Check that the task log of this version is compatible with that of the version in production.
 
     python tools/task_log_crosscheck.py [--rounds N] [--seed N]
 
-`deploy/service.toml` names the commit in production; its `storage/ledger.py` is read from the history and
-run as it is. Both versions then write rows into one log in turn, as leaders of an upgrade do, the old one in
-rows of the present limit and the new one in rows of the limit to come. Every reader of both must add all rows
-up to the same state, also one that begins anew, and find the same slots free.
+Not run in CI, because it needs the git history: `deploy/service.toml` names the commit in production, and
+its `storage/ledger.py` is read from the history and run unchanged. Both versions write rows to one log in
+turn, as leaders do during an upgrade, the old version with the current row size limit and the new version
+with the smaller future limit. Readers of both versions, including new readers, must compute the same state
+and find the same free slots.
 """
 
 import argparse
@@ -21,17 +22,17 @@
 
 import orjson
 
-HERE = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(HERE))
+ROOT = Path(__file__).resolve().parent.parent
+sys.path.insert(0, str(ROOT))
 
 from bayford.storage import records  # noqa: E402
 from bayford.storage.row_builder import RowBuilder  # noqa: E402
 from bayford.storage.task_log import TaskLog  # noqa: E402
 
-# What production's task log imports and what is called otherwise by now.
-OLD_NAMES = {"Unreadable": records.UnreadableError}
+# Names that the production module imports from `records` -> their present objects.
+RECORDS_ALIASES = {"Unreadable": records.UnreadableError}
 
-# Names of today, and what production's module calls the same thing.
+# Present names -> names of the same things in the production module.
 CLASSES = {"TaskLog": "Ledger", "RowBuilder": "RowMaker"}
 TASK_LOG_METHODS = {"apply_row": "take", "reclaimable_tail": "dead_before", "next_slots": "slots"}
 ROW_BUILDER_METHODS = {
@@ -45,20 +46,20 @@
 }
 
 
-def production() -> ModuleType:
-    """The task log of the version in production."""
-    commit = tomllib.loads((HERE / "deploy" / "service.toml").read_text())["production"]
-    shown = ["git", "show", f"{commit}:bayford/storage/ledger.py"]
-    text = subprocess.run(shown, cwd=HERE, check=True, capture_output=True, text=True).stdout
+def load_production_module() -> ModuleType:
+    """Load the task log module of the version in production, with aliases for the present names."""
+    commit = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"]
+    git_command = ["git", "show", f"{commit}:bayford/storage/ledger.py"]
+    source = subprocess.run(git_command, cwd=ROOT, check=True, capture_output=True, text=True).stdout
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "production_ledger.py"
-        path.write_text(text)
+        path.write_text(source)
         spec = importlib.util.spec_from_file_location("production_ledger", path)
         assert spec is not None and spec.loader is not None
         module = importlib.util.module_from_spec(spec)
         sys.modules["production_ledger"] = module
-        for name, now in OLD_NAMES.items():
-            setattr(records, name, now)
+        for name, record_class in RECORDS_ALIASES.items():
+            setattr(records, name, record_class)
         spec.loader.exec_module(module)
     for name, old_name in CLASSES.items():
         setattr(module, name, getattr(module, old_name))
@@ -69,8 +70,8 @@
     return module
 
 
-def state(task_log: Any) -> dict[str, Any]:
-    """What a task log holds, empty jobs left out."""
+def open_and_done_tasks(task_log: Any) -> dict[str, Any]:
+    """Return the open and completed tasks of each job that has any."""
     jobs = {}
     for job, progress in task_log.jobs.items():
         if progress.open or progress.done:
@@ -78,15 +79,15 @@
     return jobs
 
 
-def slots(task_log: Any) -> Any:
-    """Where the next rows go, and what has to be read."""
+def slot_state(task_log: Any) -> Any:
+    """Return the next position, the tail and the next three slots of a task log."""
     return task_log.next, task_log.tail, task_log.next_slots(3)
 
 
 def random_changes(
     rng: random.Random, task_log: Any, builder: Any, attempt: int
 ) -> tuple[dict[str, list[int]], int]:
-    """Write some changes into a row: the tasks that they concern, and the last attempt."""
+    """Add random changes to a row; return the changed tasks by job and the last attempt number."""
     changing: dict[str, list[int]] = {}
     for _ in range(rng.randint(1, 30)):
         job, task = f"req-{rng.randrange(9):06d}", rng.randrange(300)
@@ -111,9 +112,9 @@
 def next_row(
     rng: random.Random, task_log: Any, builder_class: Any, attempt: int, row_bytes: tuple[int, ...]
 ) -> tuple[Any, int]:
-    """The value of the next row, with random changes and jobs that are over, and the last attempt.
+    """Return the next row, with random changes and sometimes a finished job, and the last attempt number.
 
-    `row_bytes`: the size of the row, for a version that takes one.
+    `row_bytes` holds the row size limit, for a version that takes one, else it is empty.
     """
     builder = builder_class(task_log, task_log.next, task_log.reclaimable_tail(), attempt + 40, *row_bytes)
     changing, attempt = random_changes(rng, task_log, builder, attempt)
@@ -129,55 +130,70 @@
 
 
 def check_new_reader(fresh: Any, rows: list[Any], reader: Any, number: int) -> None:
-    """A reader that begins with all rows in any order knows what the one knows that has read each."""
+    """Check that a new reader, given all rows in any order, reaches the state of one that read each row."""
     fresh.rebuild(rows)
-    assert state(fresh) == state(reader), f"row {number}: a new reader differs"
-    assert slots(fresh) == slots(reader), f"row {number}: a new reader's slots differ"
+    assert open_and_done_tasks(fresh) == open_and_done_tasks(reader), (
+        f"row {number}: the state of a new reader differs"
+    )
+    assert slot_state(fresh) == slot_state(reader), f"row {number}: the slots of a new reader differ"
 
 
-def play(rounds: int, seed: int, layout: int, short: int) -> None:
-    """One log of `rounds` rows by both versions in turn."""
+def check_compatibility(rounds: int, seed: int, layout_bytes: int, new_row_bytes: int) -> None:
+    """Write one log of `rounds` rows with both versions in turn, and check all readers.
+
+    Raises `AssertionError` on a difference. `layout_bytes` and `new_row_bytes` are the row size limits of the
+    old and the new version.
+    """
     rng = random.Random(seed)
-    old = production()
-    readers = [old.TaskLog(layout), TaskLog(layout)]
+    old = load_production_module()
+    readers = [old.TaskLog(layout_bytes), TaskLog(layout_bytes)]
     stored: dict[str, tuple[int, Any]] = {}
-    attempt, version, longest = 1, 10, 0
+    attempt, version, max_slots = 1, 10, 0
     writer = 0
     for number in range(rounds):
         if rng.random() < 0.02:
             writer = 1 - writer
         if number > rounds * 2 // 3:
-            writer = 1  # all are new now
+            writer = 1  # the upgrade is complete
         task_log: Any = readers[writer]
         builder_class = old.RowBuilder if writer == 0 else RowBuilder
-        row_bytes = () if writer == 0 else (short,)  # production's rows have the size of the layout
+        # The production version has no parameter for the row size: its rows have the size of the layout.
+        row_bytes = () if writer == 0 else (new_row_bytes,)
         value, attempt = next_row(rng, task_log, builder_class, attempt, row_bytes)
         slot, before = task_log.next_slots(1)[0]
-        assert stored.get(slot, (0, None))[0] == before, "the slot's version is known"
-        assert len(orjson.dumps(value)) <= (layout if writer == 0 else short)
+        assert stored.get(slot, (0, None))[0] == before, (
+            f"row {number}: next_slots gives a wrong version of slot {slot}"
+        )
+        assert len(orjson.dumps(value)) <= (layout_bytes if writer == 0 else new_row_bytes)
         version += 1
         stored[slot] = (version, value)
         for reader in readers:
             reader.apply_row(slot, version, value)
-        longest = max(longest, len(stored))
-        assert state(readers[0]) == state(readers[1]), f"row {number}: the versions differ"
-        assert slots(readers[0]) == slots(readers[1]), f"row {number}: the slots differ"
+        max_slots = max(max_slots, len(stored))
+        assert open_and_done_tasks(readers[0]) == open_and_done_tasks(readers[1]), (
+            f"row {number}: the states of the two versions differ"
+        )
+        assert slot_state(readers[0]) == slot_state(readers[1]), (
+            f"row {number}: the slots of the two versions differ"
+        )
         if number % 50 == 49:
             rows = [(slot, at, value) for slot, (at, value) in stored.items()]
             rng.shuffle(rows)
             for task_log_class in (old.TaskLog, TaskLog):
-                check_new_reader(task_log_class(layout), rows, readers[0], number)
-    print(f"layout {layout}, rows of {short}: {rounds} rows, {longest} slots at the most, good")
+                check_new_reader(task_log_class(layout_bytes), rows, readers[0], number)
+    print(
+        f"layout {layout_bytes}, rows of {new_row_bytes}: {rounds} rows, {max_slots} slots at the most, good"
+    )
 
 
 def main() -> None:
-    """Both sites' layouts, and shorter rows than any that are named."""
-    top = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    top.add_argument("--rounds", type=int, default=4000)
-    top.add_argument("--seed", type=int, default=1)
-    args = top.parse_args()
-    for layout, short in ((8192, 2048), (4096, 2048), (8192, 1024), (4096, 512)):
-        play(args.rounds, args.seed, layout, short)
+    """Check the layouts of both sites, also with rows shorter than any configured limit."""
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--rounds", type=int, default=4000)
+    parser.add_argument("--seed", type=int, default=1)
+    args = parser.parse_args()
+    for layout_bytes, new_row_bytes in ((8192, 2048), (4096, 2048), (8192, 1024), (4096, 512)):
+        check_compatibility(args.rounds, args.seed, layout_bytes, new_row_bytes)
 
 
 if __name__ == "__main__":
--- a/tools/zone_trial.py
+++ b/tools/zone_trial.py
@@ -1,10 +1,11 @@
-"""Loss and return of a zone on a stand-in site, with and without zone recovery. Not for CI.
+"""Measure the loss and return of a zone on a stand-in site, with and without zone recovery. Not run in CI.
 
     python3 tools/zone_trial.py [--machines 12] [--seeds 1 2]
 
-Half of the machines are in the zone that is cut off, each half full, so that the others can take its work.
-Real controllers and stand-in workers on loopback, a lease of 6 s. Prints the seconds from the cut to the last
-affected task running again, from the return to each class being served, and how often tasks were run again.
+Runs real controllers and stand-in workers on loopback, with a lease of 6 s. Half of the machines are in the
+zone that is partitioned. All machines are half full, so that the other zone can take over its tasks. Prints
+the seconds from the partition until all affected tasks run again, the seconds from the return until each
+class is served, and the number of repeated task starts.
 """
 
 import argparse
@@ -16,7 +17,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-# E402: the modules below are found on the path that is set above.
+# E402: these imports need the path set above.
 from standins.site import KIND, Site, await_state, job
 
 KEEP_IDLE = (
@@ -27,52 +28,51 @@
     "off": "",
     "on": "recovery = True\nreturn_order = ['hot-builds', 'rebuild-sweep', 'mirror-trickle']\n",
 }
-CLASSES = ["mirror-trickle", "rebuild-sweep", "hot-builds"]  # as they are submitted
+CLASSES = ["mirror-trickle", "rebuild-sweep", "hot-builds"]  # in the order of submission
 TIMEOUT_S = 300.0
 
 
-def trial(script: str, machines: int, seed: int, folder: Path) -> str:
-    """The line of the table for one run."""
+def run_trial(script: str, machines: int, seed: int, folder: Path) -> str:
+    """Run one trial and return its table row."""
     rng = random.Random(seed)
-    with Site(folder, script + KEEP_IDLE, machines // 2, lease_s=6.0) as site:  # nothing more to launch
+    # The cloud's capacity is below the machines launched here, so that the controllers can launch no others.
+    with Site(folder, script + KEEP_IDLE, machines // 2, lease_s=6.0) as site:
 
-        def running(prefix: str) -> int:
+        def count_running(prefix: str) -> int:
             workers = list(site.fleet.workers.values())
-            tasks = [a for w in workers if not w.controls.mute for a in list(w.tasks.values())]
+            tasks = [a for w in workers if not w.controls.is_partitioned for a in list(w.tasks.values())]
             return sum(a.phase == "running" and a.task_id.startswith(prefix) for a in tasks)
 
         for n in range(machines):
             site.fleet.launch(KIND, "south" if n % 2 else "north", True)
         tasks = machines * int(KIND.cpus) // 2
         site.submit(job(0, "img-0", tasks, "mirror-trickle", rank="idle"), run_s=1e9)
-        await_state(lambda: running("req-000000") == tasks, "all tasks run", TIMEOUT_S)
+        await_state(lambda: count_running("req-000000") == tasks, "all tasks run", TIMEOUT_S)
         time.sleep(8.0 + rng.random())  # longer than a lease
         site.fleet.cut_zone("south", away=True)
-        cut_at = time.monotonic()
-        await_state(lambda: running("req-000000") == tasks, "all tasks run elsewhere", TIMEOUT_S)
-        again_s = time.monotonic() - cut_at
+        partitioned_at = time.monotonic()
+        await_state(lambda: count_running("req-000000") == tasks, "all tasks run elsewhere", TIMEOUT_S)
+        recovery_s = time.monotonic() - partitioned_at
         for number, name in enumerate(CLASSES, 1):
             site.submit(job(number, f"img-{number}", machines * 2, name, yard="south", rank="normal"), 1e9)
         site.fleet.cut_zone("south", away=False)
         for _ in range(machines // 2):
             site.fleet.launch(KIND, "south", True)
         returned_at = time.monotonic()
-        served: dict[str, float] = {}
-        while len(served) < len(CLASSES) - 1 and time.monotonic() - returned_at < 60.0:
+        served_after_s: dict[str, float] = {}
+        while len(served_after_s) < len(CLASSES) - 1 and time.monotonic() - returned_at < 60.0:
             for number, name in enumerate(CLASSES, 1):
-                if name not in served and running(f"req-{number:06d}") == machines * 2:
-                    served[name] = time.monotonic() - returned_at
+                if name not in served_after_s and count_running(f"req-{number:06d}") == machines * 2:
+                    served_after_s[name] = time.monotonic() - returned_at
             time.sleep(0.1)
         starts = sum(event.what == "running" for event in site.fleet.history)
-        running_now = [running(f"req-{number:06d}") for number in range(1, 4)]
-        served_columns = "  ".join(f"{name} {served[name]:.1f}" for name in served)
-        return (
-            f"{again_s:8.1f} {starts - tasks - sum(running_now):8d}   {served_columns}; running {running_now}"
-        )
+        counts = [count_running(f"req-{number:06d}") for number in range(1, 4)]
+        served_columns = "  ".join(f"{name} {served_after_s[name]:.1f}" for name in served_after_s)
+        return f"{recovery_s:8.1f} {starts - tasks - sum(counts):8d}   {served_columns}; running {counts}"
 
 
 def main() -> None:
-    """Print a table with a line for each run."""
+    """Print a table with a row per run."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--machines", type=int, default=12)
     parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2])
@@ -81,7 +81,7 @@
     for variant, script in VARIANTS.items():
         for seed in args.seeds:
             with tempfile.TemporaryDirectory() as folder:
-                line = trial(script, args.machines, seed, Path(folder))
+                line = run_trial(script, args.machines, seed, Path(folder))
             print(f"{variant:7} {args.machines:8d} {seed:4d} {line}", flush=True)
 
 
