--- a/tests/cluster_helpers.py
+++ b/tests/cluster_helpers.py
@@ -1,4 +1,4 @@
-"""Set-up and steps that tests of the simulated cluster share."""
+"""Set-up and steps shared by tests of the simulated cluster."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 def cluster_running_a_job(
     parts: int = 4, machines: int = 2, nodes: int = 3, **cluster_options: Any
 ) -> Cluster:
-    """A cluster in which all tasks of job 1 run, with long to go; workers send heartbeats to the leader."""
+    """A cluster in which all tasks of job 1 run, each expected to take 500 s."""
     cluster = started_cluster(machines=machines, nodes=nodes, **cluster_options)
     cluster.submit("n0", cluster.job(1, parts=parts, guess_s=500.0))
     run_for(cluster, 4.0, cloud=False)
@@ -32,7 +32,7 @@
 
 
 def two_zone_cluster() -> Cluster:
-    """Three controllers, and two machines in each of two zones."""
+    """A cluster with three controllers and two machines in each of two zones."""
     cluster = Cluster(3)
     for zone in ("north", "south", "north", "south"):
         cluster.machine(zone=zone)
@@ -41,12 +41,12 @@
 
 
 def worker_with_running_tasks(cluster: Cluster) -> FakeWorker:
-    """The first worker on which a task runs."""
+    """The first worker that runs a task."""
     return next(worker for worker in cluster.workers.values() if worker.running())
 
 
 def clear_faults(cluster: Cluster) -> None:
-    """End all faults and restart the controllers that are down."""
+    """End all injected faults and restart the controllers that are down."""
     cluster.store.down = False
     for affected in (
         cluster.store.unavailable_to,
@@ -68,7 +68,10 @@
 
 
 def recover_and_check(cluster: Cluster, seconds: float = 150.0) -> None:
-    """End all faults, then check that no job is lost or waits though it fits, and that accepted jobs end."""
+    """End all injected faults, then check that every accepted job is known to all controllers and ends.
+
+    No job may wait for 90 s while a machine and its team's limit have capacity for it.
+    """
     clear_faults(cluster)
     stuck_since: dict[str, float] = {}
     for second in range(int(seconds)):
@@ -77,10 +80,10 @@
             for name in cluster.nodes:
                 for job_id in sorted(cluster.accepted):
                     assert cluster.query(name, job_id) is not None, f"forgotten: {job_id} on {name}"
-        stuck_jobs = cluster.stuck()
+        stuck_jobs = cluster.stuck_jobs()
         stuck_since = {job_id: stuck_since.get(job_id, cluster.clock.now) for job_id in stuck_jobs}
         for job_id, stuck_at in stuck_since.items():
-            assert cluster.clock.now - stuck_at < 90.0, f"{job_id} waits for 90 s though it fits"
+            assert cluster.clock.now - stuck_at < 90.0, f"{job_id} waited for 90 s although it fits"
         for task_id in running_tasks(cluster):
             if cluster.rng.random() < 0.2:
                 cluster.finish(task_id)
@@ -96,7 +99,7 @@
 
 
 def settings_text(next_limits: str = "") -> str:
-    """A valid settings file of controller n9. `next_limits`: lines of its `[facts.state.next]`, as TOML."""
+    """A valid settings file of controller n9. `next_limits`: contents of its table `[facts.state.next]`."""
     return SETTINGS.format(
         name="n9",
         zone="north",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The tests import `bayford` from the checkout and the fakes from this folder."""
+"""Puts the checkout and this folder on the import path, and configures Hypothesis."""
 
 import sys
 from pathlib import Path
@@ -8,16 +8,16 @@
 HERE = Path(__file__).resolve().parent
 sys.path[:0] = [str(HERE.parent), str(HERE)]
 
-from fakes.cluster import Cluster  # noqa: E402 (the path comes first)
+from fakes.cluster import Cluster  # noqa: E402 (sys.path is set first)
 from fakes.scenarios import started_cluster  # noqa: E402
 from hypothesis import settings  # noqa: E402
 
-# The same examples in every run, and no verdict that depends on how busy the machine is.
+# Every run uses the same examples, and no deadline makes a test fail on a busy machine.
 settings.register_profile("deterministic", derandomize=True, deadline=None, database=None)
 settings.load_profile("deterministic")
 
 
 @pytest.fixture
 def cluster() -> Cluster:
-    """One controller that leads, and two machines whose heartbeats it gets."""
+    """A leader and two machines that send it heartbeats."""
     return started_cluster()
--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""What stands in for the outside in tests: state service, cloud, workers and clock, all in memory."""
+"""In-memory fakes of the key-value store, the cloud, the workers and the clock."""
--- a/tests/fakes/clock.py
+++ b/tests/fakes/clock.py
@@ -1,10 +1,10 @@
-"""A clock that only the test moves."""
+"""A clock that only the test advances."""
 
 from __future__ import annotations
 
 
 class Clock:
-    """Steady time and time of day, in seconds."""
+    """Monotonic time when called, and wall-clock time, both in seconds."""
 
     def __init__(self) -> None:
         self.now = 1000.0
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud in memory: two machine types, launch requests, deletions; and its faults."""
+"""An in-memory cloud: two machine types, launch requests, deletions, and injected faults."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from bayford.scheduling.model import MachineType
 from fakes.worker import FakeWorker
 
-SMALL = MachineType("small", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"))
-CARDS = MachineType("cards", 8.0, 2.0, 64.0, 2.0, 0.9, 30.0, 0.5, ("north",))
+SMALL_TYPE = MachineType("small", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"))
+GPU_TYPE = MachineType("cards", 8.0, 2.0, 64.0, 2.0, 0.9, 30.0, 0.5, ("north",))
 
 
 class FakeCloud:
-    """Launches, lists and deletes machines; each machine comes with its worker, which is up at once."""
+    """Launches, lists and deletes machines. Each machine gets a worker, which is up immediately."""
 
     def __init__(self, new_worker: Callable[[str, MachineType, str, bool], FakeWorker]) -> None:
-        """`new_worker` makes the worker of a machine: name, machine type, zone, spot."""
+        """`new_worker` creates the worker of a machine, given its name, machine type, zone and spot flag."""
         self.new_worker = new_worker
-        self.workers: dict[str, FakeWorker] = {}  # by the machine's name
+        self.workers: dict[str, FakeWorker] = {}  # by machine name
         self.machines_launched = 0
-        self.requests: dict[str, list[str]] = {}  # launch request -> machines
-        self.capacity = 100  # how many more machines may be launched
+        self.requests: dict[str, list[str]] = {}  # launch request -> names of its machines
+        self.capacity = 100  # number of machines that can still be launched
         self.down = False
-        self.deletes_lost = False  # deletions are not executed and get no response
+        self.deletes_lost = False  # deletions get no response and are kept in `late_deletes`
         self.late_deletes: list[list[str]] = []
         self.deleted: list[str] = []
         self.list_calls = 0
 
     def catalog(self) -> list[MachineType]:
-        return [SMALL, CARDS]
+        return [SMALL_TYPE, GPU_TYPE]
 
     def launch(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
         if self.down:
@@ -47,7 +47,7 @@
     def start_machine(self, kind: str = "small", zone: str = "north", spot: bool = True) -> FakeWorker:
         self.machines_launched += 1
         name = f"vm-{self.machines_launched:06d}"
-        machine_type = SMALL if kind == "small" else CARDS
+        machine_type = SMALL_TYPE if kind == "small" else GPU_TYPE
         worker = self.new_worker(name, machine_type, zone, spot)
         self.workers[name] = worker
         return worker
--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -1,6 +1,6 @@
-"""Controllers, workers, cloud and state service in memory, and the watch over PROTOCOL's rules.
+"""An in-memory cluster of controllers, workers, cloud and key-value store that checks PROTOCOL's rules.
 
-Nothing here waits on the real clock; the order of events is the test's, or that of a seeded generator.
+Nothing here waits on the real clock. The test, or a seeded random generator, determines the order of events.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from fakes.clock import Clock
 from fakes.cloud import FakeCloud
 from fakes.key_value_store import FakeKeyValueStore, StoreConnection
-from fakes.worker import FakeWorker, InFlightResponse, copy_of
+from fakes.worker import FakeWorker, InFlightResponse, encoded_copy
 
 SETTINGS = """
 member = "{name}"
@@ -75,7 +75,7 @@
 
 
 class Cluster:
-    """Controllers, workers, cloud and state service together; checks PROTOCOL's rules in every step."""
+    """Controllers, workers, cloud and key-value store; checks PROTOCOL's rules in every step."""
 
     def __init__(
         self,
@@ -88,10 +88,10 @@
         cancel_s: float = 42.0,
         policy: Policy | None = None,
     ) -> None:
-        """`nodes`: how many controllers. `next_limits`: the settings' `state.next`, in TOML.
+        """`nodes`: number of controllers. `next_limits`: the `state.next` table of the settings, as TOML.
 
-        `old_release`: controllers of the first release; they know of no limits to come and don't say what
-        they run. (Their formats are in tests/fixtures, their code is not.)
+        `old_release`: controllers that behave as in the first release: they ignore `next_limits` and do not
+        publish their release. (tests/fixtures holds data formats of that release, not its code.)
         """
         self.clock = Clock()
         self.policy = policy or Policy(hold_s=0.0, hold_idle_s=0.0)
@@ -106,21 +106,21 @@
         self.cloud = FakeCloud(self._new_worker)
         self.workers = self.cloud.workers
         self.specs: dict[str, Any] = {}
-        self.cancelled: dict[str, float] = {}  # job -> when its user got the confirmation
-        self.last_reported_phases: dict[str, str] = {}  # job -> what its user was answered last
+        self.cancelled: dict[str, float] = {}  # job -> time at which its user got the confirmation
+        self.last_reported_phases: dict[str, str] = {}  # job -> phase in the last response to its user
         self.accepted: set[str] = set()
         self.done_tasks: set[str] = set()
-        self.started_on: dict[str, list[FakeWorker]] = {}  # the workers that have ever started each task
-        self.pause_s = 0.05  # how far the clock goes on while a thread of a controller waits
+        self.started_on: dict[str, list[FakeWorker]] = {}  # task -> all workers that have started it
+        self.pause_s = 0.05  # maximum clock advance while a controller thread waits
         self.incarnations = 0
-        self.network_cuts: set[tuple[str, str]] = set()  # (worker, controller) pairs that can't talk
-        # When the heartbeat was sent whose late response a worker executes now.
+        self.network_cuts: set[tuple[str, str]] = set()  # (worker, controller) pairs without a connection
+        # While a worker executes a delayed response: the time at which the heartbeat was sent.
         self.executing_response_sent_at: float | None = None
-        self.response_delay_s = 0.0  # how long responses to heartbeats take
-        self.late_starts: list[str] = []  # by responses in flight at the cancellation
-        self.paused: set[str] = set()  # controllers that stand still while their clocks run on
-        self.mesh_cuts: set[str] = set()  # controllers that the others don't reach
-        self.sent_heartbeats: list[workers.Heartbeat] = []  # the last ones, for `replay`
+        self.response_delay_s = 0.0  # delay of responses to heartbeats
+        self.late_starts: list[str] = []  # tasks started by a response in flight at the cancellation
+        self.paused: set[str] = set()  # controllers whose processes are suspended; the clock continues
+        self.mesh_cuts: set[str] = set()  # controllers without a connection to any other controller
+        self.sent_heartbeats: list[workers.Heartbeat] = []  # the most recent ones, for `replay`
         self.nodes: dict[str, Controller] = {}
         self.names = [f"n{n}" for n in range(nodes)]
         for name in self.names:
@@ -130,8 +130,8 @@
 
     def settings(self, name: str) -> Settings:
         zone = "south" if name == "n1" else "north"
-        knows_next = self.next_limits and name not in self.old_release
-        next_limits = f"[facts.state.next]\n{self.next_limits}" if knows_next else ""
+        has_next_limits = self.next_limits and name not in self.old_release
+        next_limits = f"[facts.state.next]\n{self.next_limits}" if has_next_limits else ""
         text = SETTINGS.format(
             name=name,
             zone=zone,
@@ -147,7 +147,7 @@
         return parse(text)
 
     def boot(self, name: str, policy: Policy | None = None) -> Controller:
-        """(Re)start a controller with nothing in memory."""
+        """Start or restart a controller with empty memory."""
         self.incarnations += 1
         settings = self.settings(name)
         policy = policy or self.policy
@@ -155,7 +155,7 @@
         node: Controller
 
         def pause(event: Any, seconds: float) -> None:
-            # Threads of a real controller would run meanwhile: the group commit, and the one that reads.
+            # In a real controller, group commit and leadership verification have threads of their own.
             try:
                 if node.scheduler.leader:
                     node.commit_loop.commit_once()
@@ -164,18 +164,18 @@
                 pass
             self.pass_time(min(seconds, self.pause_s))
 
-        def reachable(other: str) -> bool:
+        def is_reachable(other: str) -> bool:
             return other in self.nodes and other not in self.paused and not self.mesh_cuts & {name, other}
 
-        def asker(other: str) -> Callable[[float], Any]:
-            def ask(timeout_s: float) -> Any:
-                return self.nodes[other].status() if reachable(other) else None
+        def status_client(other: str) -> Callable[[float], Any]:
+            def request_status(timeout_s: float) -> Any:
+                return self.nodes[other].status() if is_reachable(other) else None
 
-            return ask
+            return request_status
 
-        def notifier(other: str) -> Callable[[dict[str, float]], bool]:
+        def cancellation_client(other: str) -> Callable[[dict[str, float]], bool]:
             def notify(cancelled: dict[str, float]) -> bool:
-                if not reachable(other):
+                if not is_reachable(other):
                     return False
                 if other not in self.old_release:
                     self.nodes[other].on_cancellations(
@@ -186,7 +186,7 @@
             return notify
 
         others = [other for other in self.names if other != name]
-        peers = {other: asker(other) for other in others}
+        peers = {other: status_client(other) for other in others}
         node = Controller(
             settings,
             scheduler,
@@ -194,7 +194,7 @@
             self.cloud,
             f"i{self.incarnations}",
             peers,
-            {other: notifier(other) for other in others},
+            {other: cancellation_client(other) for other in others},
             lambda address, body: self.command(name, address, body),
             clock=self.clock,
             wall=self.clock.wall,
@@ -204,17 +204,17 @@
         )
         scheduler.set_types(self.cloud.catalog())
         self.nodes[name] = node
-        self.join(name)
+        self.register_member(name)
         return node
 
-    def join(self, name: str) -> None:
-        """The controller reads the store and registers its membership."""
+    def register_member(self, name: str) -> None:
+        """Let the controller read the store and register its membership."""
         self.try_step(lambda: self.nodes[name].watch_cache.pull(0.0))
         self.try_step(self.nodes[name].membership_step)
 
     @staticmethod
     def try_step(step: Callable[[], object]) -> bool:
-        """Run a step that faults of the outside may end; returns whether it came to its end."""
+        """Run a step that a fault of the store or the cloud may abort; returns whether it completed."""
         try:
             step()
         except (UnavailableError, OutcomeUnknownError, LeaseGoneError, CloudBusyError):
@@ -222,7 +222,7 @@
         return True
 
     def pass_time(self, seconds: float) -> None:
-        """The clock goes on; a controller notices if it stood still meanwhile."""
+        """Advance the clock; running controllers update their stall detectors every 0.5 s."""
         end = self.clock.now + seconds
         while self.clock.now < end:
             self.clock.now = min(end, self.clock.now + 0.5)
@@ -231,7 +231,7 @@
                     node.stall_detector.resumed_at()
 
     def step_controller(self, name: str) -> None:
-        """What the threads of one controller do in a while."""
+        """Run one iteration of the threads of a controller."""
         if name in self.paused:
             return
         node = self.nodes[name]
@@ -250,7 +250,7 @@
             node.stop_commands.step()
 
     def cloud_step(self, name: str) -> None:
-        """What the cloud threads of one controller do in a while."""
+        """Run one iteration of the cloud threads of a controller, if it leads."""
         node = self.nodes[name]
         if not node.scheduler.leader or name in self.paused:
             return
@@ -264,7 +264,7 @@
             self.try_step(node.scaling_loop.monitor_zones)
 
     def step(self, seconds: float = 0.5) -> None:
-        """Some time passes: every controller steps, every worker reports to the leader."""
+        """Advance the clock, step all controllers, send all heartbeats to the leader, check the rules."""
         self.pass_time(seconds)
         self.store.process_due()
         for name in list(self.nodes):
@@ -277,24 +277,24 @@
         self.check()
 
     def leader(self) -> str | None:
-        """The name of a controller that leads and is not paused."""
+        """The name of a controller that leads and is not paused, or None."""
         for name, node in self.nodes.items():
             if node.scheduler.leader and name not in self.paused:
                 return name
         return None
 
     def require_leader(self) -> str:
-        """The leader's name; there must be one."""
+        """The leader's name; fails the test if there is none."""
         name = self.leader()
-        assert name is not None, "there is no leader"
+        assert name is not None, "no controller leads"
         return name
 
     def heartbeat(self, worker: FakeWorker, node: str | None = None) -> int:
-        """The worker sends a heartbeat to a controller, else to the leader; returns the status, 0 if none."""
+        """Send a heartbeat, by default to the leader; returns the HTTP status, 0 without a response."""
         node = node or self.leader()
         if node is None or not self.reaches(worker, node):
             return 0
-        if worker.response_in_flight is not None:  # one heartbeat in flight
+        if worker.response_in_flight is not None:  # at most one heartbeat in flight
             late = worker.response_in_flight
             if self.clock.now < late.arrives_at:
                 return 0
@@ -307,17 +307,17 @@
         sent = self.clock.now
         after = worker.last_response_at.get(node, NEVER)
         self.sent_heartbeats = [*self.sent_heartbeats[-200:], heartbeat]
-        answer = self.nodes[node].heartbeat(copy_of(heartbeat), after)
+        reply = self.nodes[node].heartbeat(encoded_copy(heartbeat), after)
         if worker.name not in self.workers or worker.unresponsive:
             return 0
         if self.response_delay_s:
             worker.response_in_flight = InFlightResponse(
-                sent + self.response_delay_s, answer, sent, heartbeat.epoch, node
+                sent + self.response_delay_s, reply, sent, heartbeat.epoch, node
             )
             return 0
-        status = worker.receive(answer, sent, heartbeat.epoch, node)
+        status = worker.receive(reply, sent, heartbeat.epoch, node)
         if status == 421:
-            worker.reports_to = orjson.loads(answer[1]).get("foreman", worker.reports_to)
+            worker.reports_to = orjson.loads(reply[1]).get("foreman", worker.reports_to)
         return status
 
     def reaches(self, worker: FakeWorker, node: str) -> bool:
@@ -326,7 +326,10 @@
         return node in self.nodes and node not in self.paused and (worker.name, node) not in self.network_cuts
 
     def heartbeat_to_any(self, worker: FakeWorker) -> int:
-        """The worker sends a heartbeat where it was last answered or redirected to, else to the next one."""
+        """Send a heartbeat to the controller that the worker currently reports to; returns the HTTP status.
+
+        On an error, or a redirect to the same controller, the worker uses the next controller from then on.
+        """
         worker.check_lease()
         node = worker.reports_to = worker.reports_to or self.names[0]
         status = self.heartbeat(worker, node)
@@ -335,7 +338,7 @@
         return status
 
     def command(self, node: str, address: str, body: bytes) -> bytes | None:
-        """A direct command reaches the worker, or nobody answers."""
+        """Send a direct command to a worker; returns its response, or None if it cannot be reached."""
         worker = self.workers.get(address.partition(":")[0])
         if worker is None or worker.unresponsive or worker.hung or (worker.name, node) in self.network_cuts:
             return None
@@ -347,16 +350,16 @@
         return msgspec.json.encode(worker.heartbeat())
 
     def replay(self, heartbeat: workers.Heartbeat, node: str) -> None:
-        """A copy of an old heartbeat comes late, on a connection of its own; nobody reads the response."""
+        """Deliver a copy of an old heartbeat late, on a separate connection; the response is not read."""
         if node in self.nodes and node not in self.paused:
-            self.nodes[node].heartbeat(copy_of(heartbeat), NEVER)
+            self.nodes[node].heartbeat(encoded_copy(heartbeat), NEVER)
 
     def machine(self, kind: str = "small", zone: str = "north", spot: bool = True) -> FakeWorker:
-        """A new machine, launched by no controller."""
+        """Add a machine that no controller has launched."""
         return self.cloud.start_machine(kind, zone, spot)
 
     def first_worker(self) -> FakeWorker:
-        """The worker of the machine that was launched first, of those that are there."""
+        """The worker of the oldest machine."""
         return next(iter(self.workers.values()))
 
     def _new_worker(self, name: str, machine_type: MachineType, zone: str, spot: bool) -> FakeWorker:
@@ -365,12 +368,12 @@
     # -- users -----------------------------------------------------------------------------------------
 
     def service(self, number: int, **fields: Any) -> bytes:
-        """The body of a submission: a service of two replicas."""
+        """The body of a submission: a service with two replicas, unless `fields` override it."""
         new = {"lane": "desk", "shape": "daemon", "rank": "critical", "loaners": False, "guess_s": 0.0}
         return self.job(number, **new | fields)
 
     def job(self, number: int, **fields: Any) -> bytes:
-        """The body of a submission: a job array of two tasks, unless `fields` (of PROTOCOL) say otherwise."""
+        """The body of a submission: a job array with two tasks; `fields` (of PROTOCOL) override it."""
         body = {
             "id": f"req-{number:06d}",
             "lane": "sweep",
@@ -397,43 +400,43 @@
         return orjson.dumps(body)
 
     def submit(self, node: str, body: bytes) -> int:
-        status, answer, _ = self.nodes[node].submit(body)
+        status, reply, _ = self.nodes[node].submit(body)
         if status in (200, 201):
             spec = jobs.parse_submission(body)
             self.specs[spec.id] = spec
             self.accepted.add(spec.id)
-            self.on_phase(spec.id, orjson.loads(answer)["phase"])
+            self.on_phase(spec.id, orjson.loads(reply)["phase"])
         return status
 
     def cancel(self, node: str, job_id: str) -> str | None:
-        status, answer, _ = self.nodes[node].cancel(job_id)
+        status, reply, _ = self.nodes[node].cancel(job_id)
         if status != 200:
             return None
-        phase: str = orjson.loads(answer)["phase"]
+        phase: str = orjson.loads(reply)["phase"]
         self.on_phase(job_id, phase)
         if phase == "aborted":
             self.cancelled.setdefault(job_id, self.clock.now)
         return phase
 
     def query(self, node: str, job_id: str) -> str | None:
-        status, answer, _ = self.nodes[node].query(job_id)
+        status, reply, _ = self.nodes[node].query(job_id)
         if status == 404:
             assert job_id not in self.accepted, f"forgotten: {job_id}"
             return None
         if status != 200:
             return None
         assert job_id in self.specs, f"invented: {job_id}"
-        phase: str = orjson.loads(answer)["phase"]
+        phase: str = orjson.loads(reply)["phase"]
         self.on_phase(job_id, phase)
         return phase
 
     def query_everywhere(self, number: int, **fields: Any) -> list[str | None]:
-        """Users query all controllers and repeat the submission, at one instant; the phases answered."""
+        """Query a job and repeat its submission on all controllers at one instant; returns the phases."""
         phases: list[str | None] = []
         for name in self.nodes:
             phases.append(self.query(name, f"req-{number:06d}"))
             status, body, _ = self.nodes[name].submit(self.job(number, **fields))
-            assert status in (200, 503), f"forgotten: a repeated submission is answered {status}"
+            assert status in (200, 503), f"forgotten: repeated submission got status {status}"
             if status == 200:
                 phase: str = orjson.loads(body)["phase"]
                 phases.append(phase)
@@ -441,20 +444,20 @@
         return phases
 
     def on_phase(self, job_id: str, phase: str) -> None:
-        """A user is answered a phase: it never goes back from a final one, and done means done."""
+        """Check a phase sent to a user: a final phase never changes, and all tasks of a done job are done."""
         before = self.last_reported_phases.get(job_id)
         if before in ("done", "aborted"):
             assert phase == before, f"went_back: {job_id} {before} -> {phase}"
         if phase == "done":
             spec = self.specs[job_id]
-            undone = [t for t in range(spec.tasks) if f"{job_id}/{t}" not in self.done_tasks]
-            assert not undone, f"not_done: {job_id} {undone}"
+            incomplete_tasks = [t for t in range(spec.tasks) if f"{job_id}/{t}" not in self.done_tasks]
+            assert not incomplete_tasks, f"not_done: {job_id} {incomplete_tasks}"
         self.last_reported_phases[job_id] = phase
 
-    # -- rules -----------------------------------------------------------------------------------------
+    # -- checks ----------------------------------------------------------------------------------------
 
     def on_task_started(self, worker: FakeWorker, job_id: str, task: int) -> None:
-        """Called at every start: ran_twice, wrong_place, ran_cancelled."""
+        """Check the rules ran_twice, wrong_place and ran_cancelled; called at every start of a task."""
         task_id = f"{job_id}/{task}"
         spec = self.specs[job_id]
         for other in self.started_on.setdefault(task_id, []):
@@ -464,8 +467,10 @@
                 )
         self.started_on[task_id].append(worker)
         assert spec.spot or not worker.spot, f"wrong_place: {task_id} on a spot machine"
-        assert spec.types is None or worker.kind.name in spec.types, f"wrong_place: {task_id} type"
-        assert spec.zone is None or spec.zone == worker.zone, f"wrong_place: {task_id} zone"
+        assert spec.types is None or worker.kind.name in spec.types, (
+            f"wrong_place: {task_id} on a machine of another type"
+        )
+        assert spec.zone is None or spec.zone == worker.zone, f"wrong_place: {task_id} in another zone"
         zones = []
         if spec.one_zone or spec.spread:
             zones = [
@@ -475,18 +480,25 @@
                 if running.split("/")[0] == job_id
             ]
         if spec.one_zone:
-            assert len(set(zones)) <= 1, f"wrong_place: {task_id} not together"
+            assert len(set(zones)) <= 1, f"wrong_place: {task_id} not in the zone of its job"
         if spec.spread:
-            assert zones.count(worker.zone) <= (spec.tasks + 1) // 2, f"wrong_place: {task_id} not apart"
+            assert zones.count(worker.zone) <= (spec.tasks + 1) // 2, (
+                f"wrong_place: {task_id} not spread over zones"
+            )
         if job_id in self.cancelled:
-            # Only a response in flight when the cancellation is confirmed may still start a task.
+            # Only a response that was in flight when the cancellation was confirmed may still start a task.
             sent_at = self.executing_response_sent_at
-            known = sent_at is None or sent_at > self.cancelled[job_id]
-            assert not known, f"{task_id} started by a response from after its confirmed cancellation"
+            sent_after_cancellation = sent_at is None or sent_at > self.cancelled[job_id]
+            assert not sent_after_cancellation, (
+                f"{task_id} started by a response sent after the confirmed cancellation"
+            )
             self.late_starts.append(task_id)
 
     def check(self) -> None:
-        """The rules that hold at every moment."""
+        """Check the rules that hold at any time.
+
+        Tasks of a cancelled job end within `cancel_s`, and no team exceeds its limit.
+        """
         used: dict[str, float] = {}
         for worker in self.workers.values():
             for task_id in worker.running():
@@ -494,12 +506,12 @@
                 used[spec.team] = used.get(spec.team, 0.0) + spec.cpus
                 if spec.id in self.cancelled:
                     late = self.clock.now - self.cancelled[spec.id]
-                    assert late <= self.cancel_s, f"ran_cancelled: {task_id} {late} s after"
+                    assert late <= self.cancel_s, f"ran_cancelled: {task_id} {late} s after its cancellation"
         for team, cpus in used.items():
             assert cpus <= LIMITS[team] + 1e-6, f"quota: {team} uses {cpus}"
 
-    def stuck(self) -> list[str]:
-        """Jobs with a waiting task that fits on a machine with room while its team is under its limit."""
+    def stuck_jobs(self) -> list[str]:
+        """Jobs with a waiting task that fits on a machine and within the limit of its team."""
         used: dict[str, float] = {}
         free = {name: worker.kind.cpus for name, worker in self.workers.items()}
         for name, worker in self.workers.items():
@@ -512,7 +524,7 @@
         for job_id in sorted(self.accepted):
             spec = self.specs[job_id]
             tasks = {f"{job_id}/{task}" for task in range(spec.tasks)}
-            # A cancellation may have been carried out although its user got no answer.
+            # A cancellation may have been stored although its user got no response.
             cancelled = records.decode(self.store.rows[records.key(job_id)][0]).cancelled
             if cancelled or not tasks - placed - self.done_tasks:
                 continue
@@ -531,7 +543,7 @@
         return stuck
 
     def finish(self, task_id: str) -> None:
-        """The task completes wherever it runs."""
+        """Complete a task on every worker that runs it."""
         for worker in self.workers.values():
             if task_id in worker.running():
                 worker.finish(task_id)
--- a/tests/fakes/key_value_store.py
+++ b/tests/fakes/key_value_store.py
@@ -1,4 +1,4 @@
-"""The state service in memory, by its page: versions, leases, transactions, changes; and its faults."""
+"""An in-memory key-value store: versions, leases, transactions, watch, and injected faults."""
 
 from __future__ import annotations
 
@@ -20,41 +20,42 @@
 
 
 class FakeKeyValueStore:
-    """The state service by its page: versions, leases, transactions, changes; and its faults."""
+    """The data of the key-value store, and the faults that a test injects."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.rows: dict[str, tuple[Any, int, int | None]] = {}
-        self.leases: dict[int, tuple[float, float]] = {}  # id -> until, ttl
+        self.rows: dict[str, tuple[Any, int, int | None]] = {}  # key -> (value, version, lease)
+        self.leases: dict[int, tuple[float, float]] = {}  # lease id -> (expiry, TTL in s)
         self.revision = 10
         self.changes: list[Row] = []
         self.down = False
-        self.unavailable_to: set[str] = set()  # controllers that get 503
-        # Controllers whose next transaction is executed, its response lost.
+        self.unavailable_to: set[str] = set()  # controllers whose requests get 503
+        # Controllers whose next transaction is executed but its response is lost.
         self.loses_next_response_to: set[str] = set()
-        # Controllers whose next transaction gets no response and is executed when the test says.
+        # Controllers whose next transaction gets no response and is kept for `execute_delayed_writes`.
         self.delays_next_write_of: set[str] = set()
         self.delayed_writes: list[tuple[dict[str, int], list[Put]]] = []
-        self.unreachable_from: set[str] = set()  # controllers that get no response at all
-        # Controllers whose transactions are executed, every response lost.
+        self.unreachable_from: set[str] = set()  # controllers without a connection
+        # Controllers whose transactions are executed but every response is lost.
         self.loses_responses_to: set[str] = set()
-        # Controllers whose transactions get no response and are executed so much later.
+        # controller -> delay: its transactions get no response and are executed after the delay.
         self.write_delay_s: dict[str, float] = {}
-        self.late_writes: list[tuple[float, dict[str, int], list[Put]]] = []
-        self.late_write_count = 0  # of those, executed and applied
-        # Controllers whose reads get no response; their transactions are executed.
+        self.late_writes: list[tuple[float, dict[str, int], list[Put]]] = []  # (due time, conditions, puts)
+        self.late_write_count = 0  # number of delayed transactions that were applied
+        # Controllers whose reads get no response; their transactions are still executed.
         self.reads_unanswered_for: set[str] = set()
         self.written_sizes: list[int] = []
-        self.value_bytes = 1 << 20  # the limits that are in force
+        self.value_bytes = 1 << 20  # limits in force: size of a value, operations per transaction
         self.txn_ops = 1 << 20
-        self.too_large_count = 0  # transactions refused for their size
-        self.write_rps: float | None = None  # if set, changes above it get 429; bursts of a second's worth
+        self.too_large_count = 0  # transactions refused because of their size
+        # If set, changes beyond this rate get 429. A burst may contain one second's changes.
+        self.write_rps: float | None = None
         self.available_writes = 0.0
         self.writes_refilled_at = 0.0
-        self.rate_limited_count = 0  # transactions refused for the rate
+        self.rate_limited_count = 0  # transactions refused because of the rate
 
     def process_due(self) -> None:
-        """Execute what is due by the clock: late writes, lease expiry."""
+        """Execute delayed writes that are due and delete the rows of expired leases."""
         due = [entry for entry in self.late_writes if entry[0] <= self.clock.now and not self.down]
         self.late_writes = [entry for entry in self.late_writes if entry not in due]
         for _, conditions, puts in due:
@@ -92,8 +93,8 @@
             return Outcome(self.revision, tuple(failed))
         return Outcome(self._change(puts) if puts else self.revision)
 
-    def within_rate(self, changes: int) -> bool:
-        """Whether so many changes are within the rate now."""
+    def take_write_tokens(self, changes: int) -> bool:
+        """Take a token of `write_rps` for each change; returns whether there were enough, else takes none."""
         if self.write_rps is None:
             return True
         elapsed = self.clock.now - self.writes_refilled_at
@@ -106,7 +107,7 @@
         return True
 
     def execute_delayed_writes(self) -> list[Outcome]:
-        """Execute the delayed transactions; returns the outcomes."""
+        """Execute the transactions held back by `delays_next_write_of`; returns their outcomes."""
         delayed, self.delayed_writes = self.delayed_writes, []
         outcomes = []
         for conditions, puts in delayed:
@@ -118,13 +119,13 @@
 
 
 class StoreConnection:
-    """One controller's connection to the state service."""
+    """A controller's connection to the key-value store."""
 
     def __init__(self, store: FakeKeyValueStore, controller: str) -> None:
         self.store = store
         self.controller = controller
 
-    def _check(self) -> None:
+    def _raise_if_unavailable(self) -> None:
         if self.controller in self.store.unreachable_from:
             raise UnavailableError("no connection")
         if self.store.down or self.controller in self.store.unavailable_to:
@@ -132,20 +133,20 @@
         self.store.process_due()
 
     def scan(self, prefix: str) -> tuple[list[Row], int]:
-        self._check()
+        self._raise_if_unavailable()
         if self.controller in self.store.reads_unanswered_for:
             raise OutcomeUnknownError("no answer")
         rows = [Row(k, v, s) for k, (v, s, _) in sorted(self.store.rows.items()) if k.startswith(prefix)]
         return rows, self.store.revision
 
     def compare_and_swap(self, conditions: dict[str, int], puts: list[Put]) -> Outcome:
-        self._check()
+        self._raise_if_unavailable()
         if len(puts) > self.store.txn_ops or any(
             put.value is not None and len(orjson.dumps(put.value)) > self.store.value_bytes for put in puts
         ):
             self.store.too_large_count += 1
             raise TooLargeError("400")
-        if not self.store.within_rate(len(puts)):
+        if not self.store.take_write_tokens(len(puts)):
             raise UnavailableError("429", refused=True)
         if puts and self.controller in self.store.delays_next_write_of:
             self.store.delays_next_write_of.discard(self.controller)
@@ -158,11 +159,11 @@
         outcome = self.store.execute(conditions, puts)
         if puts and self.controller in self.store.loses_next_response_to | self.store.loses_responses_to:
             self.store.loses_next_response_to.discard(self.controller)
-            raise OutcomeUnknownError("answer lost")
+            raise OutcomeUnknownError("response lost")
         return outcome
 
     def watch(self, prefix: str, since: int, wait_s: float) -> tuple[list[Row], int]:
-        self._check()
+        self._raise_if_unavailable()
         if self.controller in self.store.reads_unanswered_for:
             raise OutcomeUnknownError("no answer")
         first = bisect.bisect_right(self.store.changes, since, key=lambda row: row.version)
@@ -170,13 +171,13 @@
         return changes, self.store.revision
 
     def grant_lease(self, ttl_s: float) -> int:
-        self._check()
+        self._raise_if_unavailable()
         lease = len(self.store.leases) + self.store.revision * 1000
         self.store.leases[lease] = (self.store.clock.now + ttl_s, ttl_s)
         return lease
 
     def renew_lease(self, lease: int) -> None:
-        self._check()
+        self._raise_if_unavailable()
         if lease not in self.store.leases:
             raise LeaseGoneError
         ttl = self.store.leases[lease][1]
--- a/tests/fakes/scenarios.py
+++ b/tests/fakes/scenarios.py
@@ -1,4 +1,4 @@
-"""Set-ups and steps that tests of several files share."""
+"""Set-up and steps shared by several test files."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def started_cluster(machines: int = 2, nodes: int = 1, **cluster_fields: Any) -> Cluster:
-    """A cluster with a leader and some machines whose heartbeats it gets."""
+    """A cluster with a leader that receives heartbeats from all machines."""
     cluster = Cluster(nodes, **cluster_fields)
     for _ in range(machines):
         cluster.machine()
@@ -21,14 +21,15 @@
 
 
 def running_tasks(cluster: Cluster) -> list[str]:
-    """What runs anywhere; a task that ran twice would be there twice."""
+    """The running tasks of all workers, sorted; a task that runs on two workers is listed twice."""
     return sorted(task_id for worker in cluster.workers.values() for task_id in worker.running())
 
 
 def run_for(cluster: Cluster, seconds: float, cloud: bool = True, heartbeats: bool = True) -> None:
-    """Time passes in half seconds; workers find a controller by themselves; no task ends.
+    """Advance the cluster in steps of 0.5 s. Workers find a controller by themselves, and no task ends.
 
-    Without `cloud` no controller launches, lists or deletes machines.
+    Without `cloud`, no controller launches, lists or deletes machines. Without `heartbeats`, no worker sends
+    any.
     """
     for _ in range(int(seconds * 2)):
         cluster.pass_time(0.5)
@@ -46,7 +47,7 @@
 
 
 def leader_with_unwritten_placements(cluster: Cluster, leader: str = "n0", **fields: Any) -> Controller:
-    """The leader, which has placed the tasks of a first job and written nothing of it yet."""
+    """The leader, after it has placed the tasks of job 1 and before it writes the placements."""
     cluster.submit(leader, cluster.job(1, **fields))
     node = cluster.nodes[leader]
     node.watch_cache.pull(0.0)
@@ -55,7 +56,7 @@
 
 
 def replaced_leader_with_unwritten_placements() -> tuple[Cluster, str, str]:
-    """A cluster, its old leader that has placed tasks and written nothing of it, and the new leader."""
+    """A cluster and the names of its old leader, which has not written its placements, and its new leader."""
     cluster = started_cluster(nodes=2)
     old_name = cluster.require_leader()
     leader_with_unwritten_placements(cluster, old_name, parts=4)
@@ -65,7 +66,7 @@
 
 
 def cluster_with_paused_leader(nodes: int = 3, seconds: float = 60.0) -> tuple[Cluster, str]:
-    """A cluster with 16 running tasks whose leader has stood still for a while, and that leader."""
+    """A cluster with 16 running tasks whose leader was paused for `seconds`, and the name of that leader."""
     cluster = started_cluster(machines=4, nodes=nodes)
     cluster.submit("n0", cluster.job(1, crew="blue", parts=16, guess_s=500.0))
     run_for(cluster, 3.0, cloud=False)
@@ -77,7 +78,7 @@
         for worker in cluster.workers.values():
             cluster.heartbeat_to_any(worker)
     cluster.paused.clear()
-    assert cluster.nodes[old].scheduler.leader, "it goes on with the state that it had"
+    assert cluster.nodes[old].scheduler.leader, "it resumes with its state from before the pause"
     return cluster, old
 
 
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A machine's worker by the protocol: fencing tokens, epochs, leases, commands; and its faults."""
+"""A worker that follows the protocol (fencing tokens, epochs, lease, commands), with injected faults."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     from fakes.cluster import Cluster
 
 
-def copy_of(heartbeat: workers.Heartbeat) -> workers.Heartbeat:
-    """As if it had gone over the wire."""
+def encoded_copy(heartbeat: workers.Heartbeat) -> workers.Heartbeat:
+    """A copy of a heartbeat, encoded and decoded as for the network."""
     return msgspec.convert(msgspec.to_builtins(heartbeat), workers.Heartbeat)
 
 
 @dataclass
 class Attempt:
-    """A task attempt on a worker."""
+    """An attempt to run a task on a worker."""
 
     task_id: str
     number: int
@@ -33,18 +33,18 @@
 
 
 class InFlightResponse(NamedTuple):
-    """A response to a heartbeat that arrives later."""
+    """A delayed response to a heartbeat."""
 
     arrives_at: float
     response: Reply
     sent_at: float  # when the heartbeat was sent
-    epoch: int  # of the heartbeat
+    epoch: int  # the worker's epoch in the heartbeat
     node: str
 
 
 @dataclass
 class FakeWorker:
-    """A machine's worker by the protocol: fencing tokens, epochs, leases, commands."""
+    """A worker on a simulated machine."""
 
     cluster: Cluster
     name: str
@@ -54,15 +54,15 @@
     epoch: int = 1
     sequence: int = 0
     fencing_token: int = 0
-    last_answered_at: float = 0.0  # sending time of the last heartbeat that was answered
+    last_answered_at: float = 0.0  # sending time of the latest heartbeat that got a response
     reclaim_notice_s: float | None = None
     tasks: dict[tuple[str, int], Attempt] = field(default_factory=dict)
     last_response_at: dict[str, float] = field(default_factory=dict)  # by controller
-    reports_to: str = ""  # the controller that gets its next heartbeat
-    unresponsive: bool = False  # its heartbeats arrive, no response reaches it
-    hung: bool = False  # it does nothing; what runs there goes on once it does
-    cannot_send: bool = False  # it reaches no controller, direct commands reach it
-    fails_starts: bool = False  # every attempt ends at once, for this reason:
+    reports_to: str = ""  # the controller to which it sends the next heartbeat
+    unresponsive: bool = False  # its heartbeats arrive, but no response reaches it
+    hung: bool = False  # it neither communicates nor checks its lease; its tasks remain
+    cannot_send: bool = False  # its heartbeats reach no controller; direct commands still arrive
+    fails_starts: bool = False  # every attempt ends immediately with `failure_reason`
     failure_reason: str = "error"
     response_in_flight: InFlightResponse | None = None
 
@@ -98,7 +98,7 @@
             self.last_answered_at = self.cluster.clock.now
 
     def receive(self, reply: Reply, sent_at: float, epoch: int, node: str = "") -> int:
-        """Act on a response, as PROTOCOL says; returns its status, 0 if it is stale."""
+        """Process a response as PROTOCOL specifies; returns its HTTP status, 0 if it is stale."""
         if reply.status != 200:
             return reply.status
         response = orjson.loads(reply.body)
@@ -113,15 +113,17 @@
 
     def execute(self, command: dict[str, Any]) -> None:
         key = (command["part"], command["try"])
-        present = self.tasks.get(key)
+        existing = self.tasks.get(key)
         if command["verb"] == "start":
-            if present is not None:
+            if existing is not None:
                 return
             job_id, number = workers.split_task(command["part"])  # type: ignore[misc]
             spec = self.cluster.specs.get(job_id)
             attempt = Attempt(command["part"], command["try"], "running")
             self.tasks[key] = attempt
-            busy = [a for a in self.tasks.values() if a.task_id == command["part"] and a.phase != "ended"]
+            active_attempts = [
+                a for a in self.tasks.values() if a.task_id == command["part"] and a.phase != "ended"
+            ]
             used = sum(
                 self.cluster.specs[a.task_id.split("/")[0]].cpus
                 for a in self.tasks.values()
@@ -129,7 +131,7 @@
             )
             if spec is None:
                 attempt.phase, attempt.reason = "ended", "unknown"
-            elif len(busy) > 1:
+            elif len(active_attempts) > 1:
                 attempt.phase, attempt.reason = "ended", "busy"
             elif used + spec.cpus > self.kind.cpus + 1e-6:
                 attempt.phase, attempt.reason = "ended", "full"
@@ -138,9 +140,9 @@
             else:
                 self.cluster.on_task_started(self, job_id, number)
         elif command["verb"] == "halt":
-            if present is not None and present.phase != "ended":
-                present.phase, present.reason = "ended", "halted"
-        elif present is not None and present.phase == "ended":
+            if existing is not None and existing.phase != "ended":
+                existing.phase, existing.reason = "ended", "halted"
+        elif existing is not None and existing.phase == "ended":
             del self.tasks[key]
 
     def finish(self, task_id: str, reason: str = "done") -> None:
--- a/tests/zone_helpers.py
+++ b/tests/zone_helpers.py
@@ -1,4 +1,4 @@
-"""Set-up of tests in which a whole zone is lost and returns."""
+"""Set-up and queries for tests in which a whole zone is lost and returns."""
 
 from typing import Any
 
@@ -23,35 +23,35 @@
 
 
 def recovery_cluster(machines: int = 8, nodes: int = 3, seed: int = 1) -> Cluster:
-    """Machines in two zones, and a leader in the north."""
+    """A cluster with machines in two zones and a leader in zone north."""
     cluster = Cluster(nodes, policy=RECOVERY_POLICY, seed=seed)
     cluster.cloud.capacity = 0
     for n in range(machines):
         cluster.machine(zone="south" if n % 2 else "north")
-    run_for(cluster, 16.0)  # longer than a lease: only then can a new leader know that a zone is lost
+    run_for(cluster, 16.0)  # longer than a lease, before which a new leader cannot detect the loss of a zone
     return cluster
 
 
 def cut_zone_off(cluster: Cluster, zone: str = "south") -> None:
-    """Cut the machines of a zone off from all controllers."""
+    """Disconnect the machines of a zone from all controllers."""
     names = [worker.name for worker in cluster.workers.values() if worker.zone == zone]
     cluster.network_cuts |= {(name, node) for name in names for node in cluster.names}
 
 
 def reconnect_zones(cluster: Cluster) -> None:
-    """End all partitions between workers and controllers."""
+    """End all network partitions between workers and controllers."""
     cluster.network_cuts.clear()
 
 
 def zone_index(scheduler: Scheduler, zone: str) -> int:
-    """The index of a zone that the scheduler knows."""
+    """The index of a zone; fails the test if the scheduler does not know the zone."""
     index = scheduler.state.zones.find(zone)
-    assert index is not None, f"no machine in {zone} is known"
+    assert index is not None, f"the scheduler knows no machine in {zone}"
     return index
 
 
 def zone_state(cluster: Cluster, zone: str = "south") -> str:
-    """The state of a zone as the leader has it."""
+    """The state of a zone according to the leader."""
     scheduler = leader_of(cluster).scheduler
     return scheduler.zone_monitor.statuses[zone_index(scheduler, zone)].state.value
 
@@ -62,14 +62,14 @@
 
 
 def running_in_zone(cluster: Cluster, zone: str = "south") -> list[str]:
-    """The tasks that run on machines of a zone, sorted."""
+    """The tasks running on machines of a zone, sorted."""
     return sorted(
         task_id for worker in cluster.workers.values() if worker.zone == zone for task_id in worker.running()
     )
 
 
 def fill_with_one_job(cluster: Cluster, **fields: Any) -> list[str]:
-    """Run a job with a task for every CPU; the tasks of it that run in the south."""
+    """Run a job with one task per CPU of the cluster; returns its tasks that run in zone south."""
     tasks = 4 * len(cluster.workers)
     cluster.submit("n0", cluster.job(1, **({"crew": "open", "parts": tasks, "guess_s": 900.0} | fields)))
     run_for(cluster, 5.0)
