--- a/tests/test_capacity_index.py
+++ b/tests/test_capacity_index.py
@@ -1,4 +1,4 @@
-"""`CapacityIndex` finds the same machines as a search of the whole fleet, after any sequence of events."""
+"""`CapacityIndex` returns the same machines as a search of the whole fleet, after any sequence of events."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
 
 
 def make_job(image: int, cpus: float, mem_gb: float, zone: int | None, spot: bool, tasks: int = 5) -> Job:
-    """A job with one shape for all its tasks."""
+    """A job whose tasks have equal requirements."""
     spec = JobSpec(
         "req-1",
         "sweep",
@@ -72,7 +72,7 @@
 
 
 def indexed(fleet: list[Machine]) -> CapacityIndex:
-    """An index of these machines and the images that they have."""
+    """An index of machines and their cached images; sets `Machine.index`."""
     capacity_index = CapacityIndex()
     for index, machine in enumerate(fleet):
         machine.index = index
@@ -83,7 +83,7 @@
 
 
 def full_search(job: Job, fleet: list[Machine], with_image_only: bool) -> list[Machine]:
-    """The eligible machines in the order of preference, by a search of the whole fleet."""
+    """The eligible machines in order of preference, found by a search of the whole fleet."""
     ranked = placement_rules.ranked(job, placement_rules.candidates(job, fleet, {}, 0.0))
     return [m for m in ranked if job.image in m.images] if with_image_only else ranked
 
@@ -91,11 +91,11 @@
 def assert_same(
     capacity_index: CapacityIndex, fleet: list[Machine], job: Job, count: int, with_image_only: bool
 ) -> None:
-    def may_take(machine: Machine) -> bool:
+    def is_eligible(machine: Machine) -> bool:
         return placement_rules.eligible(job, machine, {}, 0.0)
 
     expected = [m.index for m in full_search(job, fleet, with_image_only)[:count]]
-    assert [m.index for m in capacity_index.best(job, count, may_take, with_image_only)] == expected
+    assert [m.index for m in capacity_index.best(job, count, is_eligible, with_image_only)] == expected
 
 
 @given(st.lists(machines, max_size=40), jobs, st.integers(1, 12), st.booleans())
@@ -118,18 +118,18 @@
     jobs,
     st.integers(1, 8),
 )
-def test_the_index_follows_reservations_images_and_lost_machines(
+def test_the_index_is_updated_for_reservations_images_and_removed_machines(
     fleet: list[Machine], events: list[tuple[int, str, int]], job: Job, count: int
 ) -> None:
     capacity_index = indexed(fleet)
-    present = {machine.index: machine for machine in fleet}
+    present_machines = {machine.index: machine for machine in fleet}
     reserving_job = make_job(0, 1.0, 1.0, None, True)
-    for number, event, image in events:
-        machine = fleet[number % len(fleet)]
-        if event == "back" and machine.index not in present:
-            present[machine.index] = machine
+    for machine_number, event, image in events:
+        machine = fleet[machine_number % len(fleet)]
+        if event == "back" and machine.index not in present_machines:
+            present_machines[machine.index] = machine
             capacity_index.update(machine)
-        elif machine.index not in present:
+        elif machine.index not in present_machines:
             continue
         elif event == "reserve" and machine.has_room(reserving_job.spec):
             machine.reserve(reserving_job.spec)
@@ -143,14 +143,14 @@
         elif event == "removed":
             capacity_index.remove(machine)
             machine.images.clear()
-            del present[machine.index]
+            del present_machines[machine.index]
             continue
         capacity_index.update(machine)
-    assert set(capacity_index.machines) == {i for i, m in present.items() if m.free_cpus > 0}
-    assert_same(capacity_index, list(present.values()), job, count, False)
+    assert set(capacity_index.machines) == {i for i, m in present_machines.items() if m.free_cpus > 0}
+    assert_same(capacity_index, list(present_machines.values()), job, count, False)
 
 
-def test_a_search_does_not_check_the_whole_fleet() -> None:
+def test_a_search_checks_only_as_many_machines_as_requested() -> None:
     fleet = [
         Machine(
             0,
@@ -168,10 +168,10 @@
     capacity_index = indexed(fleet)
     checked = 0
 
-    def may_take(machine: Machine) -> bool:
+    def is_eligible(machine: Machine) -> bool:
         nonlocal checked
         checked += 1
         return True
 
-    assert len(capacity_index.best(make_job(0, 1.0, 1.0, None, True), 10, may_take)) == 10
+    assert len(capacity_index.best(make_job(0, 1.0, 1.0, None, True), 10, is_eligible)) == 10
     assert checked == 10
--- a/tests/test_launch_planning.py
+++ b/tests/test_launch_planning.py
@@ -1,4 +1,4 @@
-"""Launch plans: which machines are asked of the cloud for the demand."""
+"""Launch plans: the machines requested from the cloud to meet demand."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -42,10 +42,14 @@
     without_spot = dataclasses.replace(demand, spot_cpus=0.0)
     assert plan_for(without_spot) == [(spot, 2)]
     assert plan_for(without_spot, refused=[spot]) == [(on_demand, 2)], (
-        "no spot machine exists or is available"
+        "spot machines neither exist nor can be launched"
     )
     late = dataclasses.replace(demand, on_demand=3)
-    assert plan_for(late, refused=[spot]) == [(on_demand, 1)], "only as many as are worth it"
+    assert plan_for(late, refused=[spot]) == [(on_demand, 1)], (
+        "on-demand machines only for tasks that would miss their deadline"
+    )
     urgent = dataclasses.replace(demand, urgent=True)
     assert plan_for(urgent, refused=[spot]) == [(on_demand, 2)]
-    assert plan_for(urgent, refused=[spot], preemptible=8.0) == [], "it may preempt work of lower priority"
+    assert plan_for(urgent, refused=[spot], preemptible=8.0) == [], (
+        "preempting work of lower priority meets the demand"
+    )
--- a/tests/test_policy_script.py
+++ b/tests/test_policy_script.py
@@ -1,4 +1,4 @@
-"""The policy script: what it sets, what it may not do, and how its errors are named."""
+"""The policy script: settings, forbidden operations, and errors that name the line or the setting."""
 
 from pathlib import Path
 
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected"),
     [
         ("aging_s = 1\nagin_s = 2\n", "p.star:2"),
         ("x = \n", "p.star:1"),
@@ -89,10 +89,10 @@
         ("guarantee_first = 3\n", "guarantee_first"),
     ],
 )
-def test_an_error_of_the_script_names_the_line_or_the_setting(text: str, named: str) -> None:
+def test_an_error_of_the_script_names_the_line_or_the_setting(text: str, expected: str) -> None:
     with pytest.raises(config.SettingsError) as caught:
         evaluate(text, "p.star", config.parse(VALID_SETTINGS))
-    assert named in str(caught.value)
+    assert expected in str(caught.value)
 
 
 def test_check_config_refuses_an_invalid_script(tmp_path: Path) -> None:
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Which task is preempted when urgent work needs capacity (`scheduling.preemption`)."""
+"""Choice of the task to preempt when urgent work needs capacity (`scheduling.preemption`)."""
 
 import pytest
 from fakes.scenarios import run_for, running_tasks, started_cluster
@@ -10,7 +10,7 @@
 
 
 def array(tasks: int = 10, waiting: int = 10, checkpoint_interval_s: float = 0.0, shape: str = ARRAY) -> Job:
-    """A job of which two tasks run, created at second 0."""
+    """A job, created at second 0, with two running tasks."""
     spec = JobSpec(
         "req-1",
         "sweep",
@@ -44,12 +44,12 @@
     return delay_cost(job, job.open[9], now, EXPECTED_S, due_s)
 
 
-def test_a_job_with_waiting_tasks_loses_no_time_by_one_more() -> None:
+def test_preemption_does_not_delay_a_job_that_has_waiting_tasks() -> None:
     assert cost(array(waiting=10)) == 0.0
-    assert cost(array(waiting=0)) == EXPECTED_S, "its last task begins anew"
+    assert cost(array(waiting=0)) == EXPECTED_S, "without waiting tasks, the restarted task delays the job"
 
 
-def test_each_preemption_makes_the_next_one_costlier() -> None:
+def test_the_cost_of_preempting_a_task_increases_with_each_preemption() -> None:
     job = array()
     job.note_preemption(9)
     job.note_preemption(9)
@@ -60,40 +60,43 @@
     ("due_s", "expected"),
     [
         (1000.0, 0.0),  # in time either way
-        (150.0, MISSED_DEADLINE * EXPECTED_S),  # in time only if it goes on
+        (150.0, MISSED_DEADLINE * EXPECTED_S),  # in time only if it is not preempted
         (130.0, 0.0),  # late either way
     ],
 )
-def test_a_deadline_that_the_preemption_would_miss_counts(due_s: float, expected: float) -> None:
+def test_a_deadline_missed_because_of_the_preemption_adds_cost(due_s: float, expected: float) -> None:
     assert cost(array(), due_s) == expected
 
 
-def test_preempting_what_keeps_its_progress_costs_nothing_more() -> None:
+def test_preempting_a_service_or_a_task_with_checkpoints_adds_no_delay() -> None:
     assert cost(array(waiting=0, checkpoint_interval_s=30.0)) == 0.0
     assert cost(array(waiting=0, shape=SERVICE)) == 0.0
 
 
-def test_the_same_task_is_not_preempted_again_and_again() -> None:
-    """The task preempted last had always run for the shortest time, so each urgent job preempted it once
-    more: on a recorded day's like, single tasks ended a hundred seconds after the rest of their array."""
+def test_successive_urgent_jobs_preempt_different_tasks() -> None:
+    """Guards against preempting the task with the shortest running time, which is the one preempted last.
+
+    Each urgent job then preempted the same task. In a replay resembling a recorded day, single tasks ended
+    100 s after the rest of their array.
+    """
     cluster = started_cluster(machines=1)
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, guess_s=300.0))
     run_for(cluster, 10.0, cloud=False)
     assert len(running_tasks(cluster)) == 4
-    stopped: list[str] = []
+    preempted: list[str] = []
     for number in range(2, 6):
         before = set(running_tasks(cluster))
         cluster.submit("n0", cluster.job(number, crew="open", parts=1, rank="urgent", guess_s=5.0))
         run_for(cluster, 6.0, cloud=False)
         assert f"req-{number:06d}/0" in running_tasks(cluster)
-        stopped += before - set(running_tasks(cluster))
+        preempted += before - set(running_tasks(cluster))
         cluster.finish(f"req-{number:06d}/0")
         run_for(cluster, 6.0, cloud=False)
         assert len(running_tasks(cluster)) == 4
-    assert len(stopped) == 4 and len(set(stopped)) == 4
+    assert len(preempted) == 4 and len(set(preempted)) == 4
 
 
-def test_urgent_work_preempts_sweeps_but_not_equals() -> None:
+def test_urgent_work_preempts_lower_but_not_equal_priority() -> None:
     cluster = started_cluster(machines=2)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.job(1, parts=8))
@@ -111,7 +114,7 @@
     assert len(urgent) == 2 and sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 2
 
 
-def test_nothing_is_preempted_for_capacity_that_is_released_in_a_moment() -> None:
+def test_no_task_is_preempted_when_capacity_is_about_to_be_released() -> None:
     cluster = started_cluster(machines=2)  # 8 CPUs
     cluster.submit("n0", cluster.job(1, parts=8, crew="blue", guess_s=1.6))  # two CPUs released in 0.4 s
     run_for(cluster, 2.0, cloud=False)
@@ -128,28 +131,31 @@
         "req-000002/1",
     ]
     cluster.submit("n0", cluster.job(3, parts=1, crew="blue", rank="urgent"))
-    run_for(cluster, 3.5, cloud=False)  # but when nothing is released, something is preempted
+    run_for(cluster, 3.5, cloud=False)  # without released capacity, a task is preempted
     assert "req-000003/0" in running_tasks(cluster)
 
 
-def test_equals_of_two_teams_do_not_preempt_one_another_in_turn() -> None:
-    """Each team once counted as within its guarantee while the other's preemptions were still in flight."""
+def test_jobs_of_equal_priority_in_two_teams_do_not_preempt_each_other() -> None:
+    """Guards against teams that preempt each other's tasks in turn.
+
+    Each team was counted as within its guarantee while the preemptions for the other team were in progress.
+    """
     cluster = started_cluster(machines=2)
     cluster.cloud.capacity = 0
     for n in (1, 2):
         cluster.submit("n0", cluster.job(n, parts=8, rank="urgent", crew="red" if n == 1 else "blue"))
-    stopped = 0
+    preempted = 0
     for _ in range(60):
         cluster.step(1.0)
-        stopped += sum(
+        preempted += sum(
             p.stopping for m in cluster.nodes["n0"].scheduler.state.machines.values() for p in m.open.values()
         )
-    assert stopped == 0
+    assert preempted == 0
     assert len(running_tasks(cluster)) == 8
 
 
-def test_capacity_preempted_for_a_job_is_kept_for_it() -> None:
-    """Two preemptions free two CPUs on one machine; smaller waiting tasks must not take the first of them."""
+def test_capacity_released_by_preemption_is_reserved_for_the_job() -> None:
+    """Two preemptions release the two CPUs of a job; smaller waiting tasks must not take the first CPU."""
     cluster = started_cluster(machines=1)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.job(1, parts=8))
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""Machines are launched for waiting work and deleted when idle or reclaimed."""
+"""Launches of machines for waiting work, and deletion of idle and reclaimed machines."""
 
 from typing import Any
 
@@ -26,7 +26,7 @@
     assert not cluster.workers
 
 
-def test_a_launch_request_is_never_used_twice_even_by_another_incarnation() -> None:
+def test_a_launch_request_id_is_not_reused_after_a_restart_of_the_leader() -> None:
     cluster = started_cluster(machines=0)
     cluster.submit("n0", cluster.job(1, parts=4))
     cluster.step()
@@ -41,7 +41,7 @@
     assert len(cluster.cloud.requests) > len(first)
 
 
-def test_a_reclaim_notice_stops_new_work_and_the_machine_is_deleted() -> None:
+def test_a_machine_with_a_reclaim_notice_is_deleted() -> None:
     cluster = started_cluster(machines=1)
     worker = cluster.first_worker()
     cluster.submit("n0", cluster.job(1, parts=1, guess_s=200.0))
@@ -56,16 +56,19 @@
 
 
 @pytest.mark.parametrize("fields", [{"loaners": False}, {"builds": ["cards"], "parts": 1}])
-def test_work_that_no_machine_of_the_fleet_may_take_gets_one_of_its_own(fields: dict[str, Any]) -> None:
-    """An idle fleet that may not serve a job was reason enough to launch nothing; the job waited for ever."""
+def test_a_machine_is_launched_for_work_that_no_idle_machine_may_run(fields: dict[str, Any]) -> None:
+    """Guards against launching nothing because idle machines exist that are not eligible for the job.
+
+    The job then waited indefinitely.
+    """
     cluster = started_cluster(machines=3)
     cluster.submit("n0", cluster.job(1, **fields))
     run_for(cluster, 12.0)
-    # The cluster checks that the place is allowed.
+    # The cluster checks that the machines are eligible.
     assert len(running_tasks(cluster)) == cluster.specs["req-000001"].tasks
 
 
-def test_where_no_spot_machine_can_be_launched_stranded_work_gets_an_on_demand_one(
+def test_an_on_demand_machine_is_launched_for_waiting_work_when_spot_machines_are_unavailable(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     cluster = started_cluster(machines=3)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Where tasks are placed, in which order, and what of their team's quota they use."""
+"""Placement of tasks: machine choice, order of jobs, and use of team quotas."""
 
 import msgspec
 from fakes.cluster import Cluster
@@ -11,12 +11,12 @@
     cluster = started_cluster(machines=6)
     cluster.submit("n0", cluster.job(1, parts=30))
     for _ in range(4):
-        cluster.step()  # checks the limit of 8
+        cluster.step()  # each step checks the limit of 8 CPUs
     assert len(running_tasks(cluster)) == 8
 
 
-def test_a_team_whose_limits_are_0_has_none() -> None:
-    """A limit of 0 was taken for nothing at all, and a whole deployment ran no task."""
+def test_a_team_limit_of_0_means_unlimited() -> None:
+    """Guards against reading a limit of 0 as no capacity, with which a whole deployment ran no task."""
     cluster = started_cluster(machines=9)
     card = cluster.machine("cards")
     assert cluster.submit("n0", cluster.job(3, crew="open", cards=1.0, cpus=4.0, parts=2)) == 201
@@ -30,7 +30,7 @@
         cluster.step()
     assert len(running_tasks(cluster)) == 36
     cluster.cloud_step("n0")
-    assert len(cluster.workers) > 50, "machines are launched for all that waits"
+    assert len(cluster.workers) > 50, "machines are launched for all waiting tasks"
 
 
 def test_one_zone_spread_zone_spot_and_machine_type_are_honoured() -> None:
@@ -41,7 +41,9 @@
             cluster.machine("small", zone, spot)
     for _ in range(3):
         cluster.step()
-    cluster.submit("n0", cluster.job(1, parts=8, together=True, crew="blue"))  # the cluster checks each start
+    cluster.submit(
+        "n0", cluster.job(1, parts=8, together=True, crew="blue")
+    )  # the cluster checks every start
     cluster.submit("n0", cluster.job(2, parts=5, apart=True, crew="red"))
     cluster.submit("n0", cluster.job(3, parts=1, loaners=False, yard="south", crew="red"))
     for _ in range(6):
@@ -49,7 +51,7 @@
     assert len(running_tasks(cluster)) == 14
 
 
-def test_a_gang_is_placed_whole_or_not_at_all_and_comes_back_whole() -> None:
+def test_a_gang_is_placed_and_restarted_as_a_whole() -> None:
     cluster = started_cluster(machines=2)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.job(1, parts=6, crew="blue"))
@@ -58,7 +60,9 @@
     cluster.submit("n0", cluster.job(2, shape="gang", parts=4, crew="red"))
     for _ in range(3):
         cluster.step()
-    assert not any(p.startswith("req-000002") for p in running_tasks(cluster)), "two of four would fit"
+    assert not any(p.startswith("req-000002") for p in running_tasks(cluster)), (
+        "only two of the four tasks fit"
+    )
     for task_id in running_tasks(cluster):
         cluster.finish(task_id)
     for _ in range(4):
@@ -73,7 +77,7 @@
         cluster.step()
     assert len(running_tasks(cluster)) == 4
     assert cluster.nodes["n0"].submit(cluster.job(3, shape="gang", parts=9))[0] == 422, (
-        "more than the team's limit"
+        "the gang exceeds the team's limit"
     )
 
 
@@ -97,8 +101,8 @@
     cluster.submit("n0", cluster.job(2, crew="red", parts=8, bundle="img-b", guess_s=10.0))
     run_for(cluster, 3.0, cloud=False)
     assert len(running_tasks(cluster)) == 16
-    # Capacity is released where img-a is. The smaller job would go first, but would have to fetch its
-    # image there.
+    # Capacity is released on the machines with img-a. The smaller job would be scheduled first, but would
+    # have to fetch its image there.
     cluster.submit("n0", cluster.job(3, crew="blue", parts=4, bundle="img-b", guess_s=10.0))
     cluster.submit("n0", cluster.job(4, crew="blue", parts=8, bundle="img-a", guess_s=10.0))
     scheduler.state.images_at = NEVER
@@ -112,7 +116,7 @@
     assert len(scheduler.state.jobs["req-000003"].open) == 4
 
 
-def test_the_snapshot_of_a_machines_images_forgets_those_used_longest_ago() -> None:
+def test_the_record_of_a_machines_images_drops_the_least_recently_used() -> None:
     cluster = started_cluster(machines=1)
     scheduler = cluster.nodes["n0"].scheduler
     scheduler.state.types = [msgspec.structs.replace(each, cache_gb=2.5) for each in scheduler.types]
@@ -125,11 +129,11 @@
     assert [scheduler.state.images[i] for i in machine.images] == ["img-a", "img-c"]
 
 
-def test_without_a_service_level_objective_the_longest_tasks_go_first() -> None:
+def test_without_a_service_level_objective_the_longest_tasks_are_scheduled_first() -> None:
     cluster = started_cluster(machines=1)
     scheduler = cluster.nodes["n0"].scheduler
     for number, guess in enumerate([5.0, 90.0, 30.0], 1):
-        # More CPUs than the guarantee, so borrowed.
+        # 5 CPUs exceed the guarantee of 4, so the job is not within it.
         cluster.submit("n0", cluster.job(number, parts=5, guess_s=guess))
     run_for(cluster, 2.0, cloud=False)
     assert {p.split("/")[0] for p in running_tasks(cluster)} == {"req-000002"}
@@ -138,18 +142,16 @@
         cluster.finish(task_id)
     run_for(cluster, 2.0, cloud=False)
     assert {p.split("/")[0] for p in running_tasks(cluster)} == {"req-000001"}, (
-        "with an aim the least work left goes first"
+        "with an objective, the job with the least remaining work is scheduled first"
     )
 
 
-def test_a_job_within_its_teams_guarantee_goes_before_the_rest_of_a_team_that_uses_less_than_its_own() -> (
-    None
-):
+def test_a_job_within_its_teams_guarantee_goes_before_a_job_beyond_the_guarantee_of_another_team() -> None:
     cluster = started_cluster(machines=1)
     cluster.submit("n0", cluster.job(1, crew="blue", parts=4, guess_s=50.0))
     run_for(cluster, 2.0, cloud=False)
     assert len(running_tasks(cluster)) == 4
-    # Together with the unfinished one the next job of blue is beyond 4 CPUs, though less work is left in it.
+    # With the unfinished job, the next job of blue exceeds blue's guarantee of 4 CPUs; it has less work left.
     cluster.submit("n0", cluster.job(2, crew="blue", parts=1, guess_s=1.0))
     cluster.submit("n0", cluster.job(3, crew="red", parts=4, guess_s=60.0))
     assert cluster.nodes["n0"].scheduler.scheduling.queue.jobs_within_guarantee() == {
@@ -161,9 +163,9 @@
     assert "req-000003/0" in running_tasks(cluster) and "req-000002/0" not in running_tasks(cluster)
 
 
-def test_a_large_idle_array_gets_its_turn_under_a_full_fleet_and_a_burst_of_small_urgent_jobs() -> None:
-    """The bound: every `turn_s`, and the time until capacity is released, `turn_share` of its tasks start."""
-    cluster = started_cluster(machines=2)  # 8 CPUs, all that there ever is
+def test_a_large_array_of_idle_priority_is_not_starved_by_small_urgent_jobs() -> None:
+    """In every `turn_s`, plus the time until capacity is released, `turn_share` of its tasks start."""
+    cluster = started_cluster(machines=2)  # 8 CPUs, and no more can be launched
     cluster.cloud.capacity = 0
     policy = cluster.nodes["n0"].scheduler.policy
     cluster.submit("n0", cluster.job(1, crew="red", parts=100, rank="idle", guess_s=10.0))
@@ -183,13 +185,13 @@
     )
     assert start_times[0] <= policy.turn_s + 20.0
     turns = int(480 / (policy.turn_s + 20.0))
-    assert len(start_times) >= turns * 2, "2 of 100 tasks a turn"
+    assert len(start_times) >= turns * 2, "2 of 100 tasks start per turn"
     done = [task_id for task_id in cluster.done_tasks if task_id.startswith("req-000001/")]
-    assert len(done) >= len(start_times) - 2, "none of them was preempted"
+    assert len(done) >= len(start_times) - 2, "no task of the array was preempted"
 
 
 def test_the_balancer_frees_capacity_that_a_waiting_task_needs() -> None:
-    """A zone's machine is full of work that may run anywhere and saves; a task that may not, waits."""
+    """A task restricted to a zone waits while tasks with checkpoints that may run anywhere fill that zone."""
     cluster = Cluster(1)
     cluster.cloud.capacity = 0
     cluster.machine("small", "north")
@@ -203,7 +205,7 @@
     cluster.submit("n0", cluster.job(2, parts=1, cpus=2.0, yard="north", crew="red"))
     for _ in range(8):
         cluster.step()
-    assert cluster.nodes["n0"].scheduler.state.moves == 1, "one task moved, and no other for it"
+    assert cluster.nodes["n0"].scheduler.state.moves == 1, "exactly one task migrates"
     north, south = cluster.workers.values()
     assert "req-000002/0" in north.running()
     assert len(south.running()) == 1 and south.running()[0].startswith("req-000001/")
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Services: replicas that run until they are cancelled, and what ends them meanwhile."""
+"""Services: replicas run until the service is cancelled, and are restarted when they end before that."""
 
 from pathlib import Path
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 def on_demand_cluster(machines: int = 3, **cluster_fields: Any) -> Cluster:
-    """A cluster with on-demand machines whose heartbeats its leader gets."""
+    """A cluster with on-demand machines that send heartbeats to its leader."""
     cluster = Cluster(1, **cluster_fields)
     for n in range(machines):
         cluster.machine("small", "north" if n % 2 else "south", spot=False)
@@ -29,7 +29,7 @@
 
 
 def replicas_by_machine(cluster: Cluster, job: str = "req-000001") -> dict[str, list[str]]:
-    """Machine -> the job's replicas there."""
+    """Machine -> task ids of the job's replicas that run on it."""
     replicas = {
         name: [task_id for task_id in worker.running() if task_id.startswith(job)]
         for name, worker in cluster.workers.items()
@@ -37,7 +37,7 @@
     return {name: task_ids for name, task_ids in replicas.items() if task_ids}
 
 
-def test_a_service_is_pending_or_running_until_it_is_cancelled_whatever_its_replicas_report() -> None:
+def test_a_service_is_pending_or_running_until_it_is_cancelled_even_if_its_replicas_end() -> None:
     cluster = on_demand_cluster()
     assert cluster.submit("n0", cluster.service(1)) == 201
     assert cluster.query("n0", "req-000001") == "pending"
@@ -64,28 +64,32 @@
     assert zones == {"north", "south"}
 
 
-def test_a_replica_that_ends_runs_again_at_once_and_one_that_cannot_run_delays_no_other() -> None:
+def test_a_replica_that_ends_is_restarted_with_back_off_and_does_not_affect_others() -> None:
     cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1, parts=3))
     run_steps(cluster, 4)
     assert len(running_tasks(cluster)) == 3
-    ends = 0
+    end_count = 0
     for _ in range(60):
         for worker in cluster.workers.values():
             if "req-000001/1" in worker.running():
                 worker.finish("req-000001/1", "done")
-                ends += 1
+                end_count += 1
         cluster.step()
-        assert {"req-000001/0", "req-000001/2"} <= set(running_tasks(cluster)), "the healthy ones go on"
-    assert 3 <= ends <= 9, f"{ends} starts in 30 s: at once at first, then ever more seldom"
+        assert {"req-000001/0", "req-000001/2"} <= set(running_tasks(cluster)), "other replicas keep running"
+    assert 3 <= end_count <= 9, (
+        f"{end_count} starts in 30 s: expected immediate restarts at first, then increasing back-off"
+    )
     run_steps(cluster, 80)
-    assert len(running_tasks(cluster)) == 3, "and it is tried again"
+    assert len(running_tasks(cluster)) == 3, "the replica is started again"
 
 
 @pytest.mark.parametrize("cpus", [1.0, 4.0])
-def test_a_replica_that_failed_on_every_machine_there_is_comes_back(cpus: float) -> None:
-    """It failed wherever there was room, the others of its job ran, and no machine was left that it might go
-    to."""
+def test_a_replica_that_failed_on_every_machine_is_started_again(cpus: float) -> None:
+    """Guards against a replica that never starts again after it has failed on every machine with capacity.
+
+    No eligible machine was left for it while the other replicas of its job ran.
+    """
     cluster = on_demand_cluster(3)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.service(1, parts=2, cpus=cpus))
@@ -96,33 +100,33 @@
                 worker.finish("req-000001/1", "error")
         cluster.step()
         cluster.cloud_step("n0")
-    assert not cluster.cloud.deleted, "one bad replica costs no machine"
+    assert not cluster.cloud.deleted, "a single failing replica causes no machine to be deleted"
     run_steps(cluster, 120)
     assert len(running_tasks(cluster)) == 2
 
 
-def test_a_machine_that_fails_what_it_starts_gets_no_replica_and_those_on_it_go_on() -> None:
+def test_a_machine_that_fails_starts_gets_no_replica_and_keeps_its_running_ones() -> None:
     cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1, parts=1, cpus=1.0))
     run_steps(cluster, 16)
-    faulty = cluster.workers[next(iter(replicas_by_machine(cluster)))]
-    faulty.fails_starts = True
+    faulty_worker = cluster.workers[next(iter(replicas_by_machine(cluster)))]
+    faulty_worker.fails_starts = True
     for number in (2, 3, 4):
         cluster.submit("n0", cluster.service(number, parts=2, cpus=0.5))
     for _ in range(30):
         cluster.step()
         cluster.cloud_step("n0")
     assert len(running_tasks(cluster)) == 7
-    assert faulty.running() == ["req-000001/0"], "what runs there runs"
-    assert faulty.name not in cluster.cloud.deleted
+    assert faulty_worker.running() == ["req-000001/0"], "the running replica stays and no other is placed"
+    assert faulty_worker.name not in cluster.cloud.deleted
     cluster.cancel("n0", "req-000001")
     for _ in range(20):
         cluster.step()
         cluster.cloud_step("n0")
-    assert faulty.name in cluster.cloud.deleted
+    assert faulty_worker.name in cluster.cloud.deleted
 
 
-def test_a_failed_machine_is_replaced_at_once_and_its_replicas_too() -> None:
+def test_a_failed_machine_is_deleted_and_its_replica_restarted_immediately() -> None:
     cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1, parts=1))
     run_steps(cluster, 16)
@@ -136,7 +140,7 @@
     assert name in cluster.cloud.deleted and len(running_tasks(cluster)) == 1
 
 
-def test_a_job_that_fails_everywhere_closes_no_machine_to_services() -> None:
+def test_a_job_that_fails_on_every_machine_excludes_no_machine_from_services() -> None:
     cluster = on_demand_cluster(3)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.service(1, parts=1))
@@ -155,28 +159,28 @@
     assert len(replicas_by_machine(cluster, "req-000004")) >= 2 and len(running_tasks(cluster)) == 4
 
 
-def test_a_replica_of_a_lost_machine_runs_elsewhere_after_the_machine_is_verifiably_gone() -> None:
+def test_a_replica_of_a_lost_machine_is_started_elsewhere_only_after_the_machine_is_gone() -> None:
     cluster = on_demand_cluster(3)
     cluster.submit("n0", cluster.service(1))
     run_steps(cluster, 4)
     name = next(iter(replicas_by_machine(cluster)))
-    lost = cluster.workers[name]
+    lost_worker = cluster.workers[name]
     cluster.network_cuts.add((name, "n0"))
     for _ in range(60):
         cluster.step()
         cluster.cloud_step("n0")
         if name not in cluster.workers:
             break
-        assert len(running_tasks(cluster)) == 2 or not lost.running(), (
-            "started elsewhere only once it is gone"
+        assert len(running_tasks(cluster)) == 2 or not lost_worker.running(), (
+            "started elsewhere before the lost machine was gone"
         )
     run_steps(cluster, 4)
     assert len(running_tasks(cluster)) == 2 and name in cluster.cloud.deleted
 
 
 @pytest.mark.parametrize("same_team", [True, False])
-def test_a_service_preempts_work_of_lower_priority_also_under_its_teams_limit(same_team: bool) -> None:
-    """Of its own team, when the limit is what binds; of others, when the machines are full."""
+def test_a_service_preempts_work_of_lower_priority_of_its_own_or_another_team(same_team: bool) -> None:
+    """Work of its own team if the team's limit is reached; work of another team if the machines are full."""
     cluster = on_demand_cluster(2 if not same_team else 4)
     cluster.submit("n0", cluster.job(1, crew="red" if same_team else "blue", parts=40))
     run_steps(cluster, 4)
@@ -186,12 +190,16 @@
     assert len(replicas_by_machine(cluster, "req-000002")) >= 2 and len(running_tasks(cluster)) == 8
     assert sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 3
     run_steps(cluster, 20)
-    assert sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 3, "and keeps it"
+    assert sum(p.startswith("req-000002") for p in running_tasks(cluster)) == 3, (
+        "the service keeps its capacity"
+    )
 
 
-def test_a_service_is_not_preempted_for_another_whose_team_has_an_unmet_guarantee() -> None:
-    """Its team was beyond its guarantee for the arrays beside it; the service was stopped and away for 9
-    s."""
+def test_a_service_is_not_preempted_for_a_service_of_a_team_with_an_unmet_guarantee() -> None:
+    """Guards against preempting a service because its team exceeds the guarantee.
+
+    The team exceeded it because of its arrays; the service was stopped and did not run for 9 s.
+    """
     cluster = on_demand_cluster(2)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.service(1, crew="red", parts=4, cpus=2.0))
@@ -201,27 +209,31 @@
     cluster.submit("n0", cluster.service(2, crew="blue", parts=3, cpus=2.0))
     run_steps(cluster, 30)
     assert replicas_by_machine(cluster) == before
-    assert len(running_tasks(cluster)) == 4, "machines are launched for the other instead"
+    assert len(running_tasks(cluster)) == 4, "machines are launched for the other service instead"
 
 
-def test_what_a_service_can_never_get_is_422() -> None:
+def test_a_service_that_can_never_be_placed_is_answered_422() -> None:
     cluster = on_demand_cluster()
     node = cluster.nodes["n0"]
-    assert node.submit(cluster.service(1, parts=9))[0] == 422, "all its tasks together, in CPUs"
-    assert node.submit(cluster.service(1, parts=3, crew="blue", cards=1.0))[0] == 422, "and in cards"
+    assert node.submit(cluster.service(1, parts=9))[0] == 422, "CPUs of all replicas exceed the limit"
+    assert node.submit(cluster.service(1, parts=3, crew="blue", cards=1.0))[0] == 422, (
+        "GPUs of all replicas exceed the limit"
+    )
     assert node.submit(cluster.service(1, cpus=5.0, builds=["small"]))[0] == 422
-    assert node.submit(cluster.service(1, apart=True, yard="north"))[0] == 422, "half of them elsewhere"
+    assert node.submit(cluster.service(1, apart=True, yard="north"))[0] == 422, (
+        "half of the replicas must run in another zone"
+    )
     assert node.submit(cluster.service(1, apart=True, together=True))[0] == 422
     assert node.submit(cluster.service(1, apart=True, crew="blue", cards=1.0))[0] == 422, (
-        "cards are in one zone"
+        "GPUs exist in one zone only"
     )
     assert node.submit(cluster.service(1, apart=True, parts=1, yard="north"))[0] == 201
     assert node.submit(cluster.job(2, apart=True, yard="north"))[0] == 201, (
-        "an array's may follow one another"
+        "tasks of an array may run one after another"
     )
 
 
-def test_fields_that_mean_nothing_to_a_service_do_no_harm() -> None:
+def test_fields_that_do_not_apply_to_a_service_are_ignored() -> None:
     cluster = on_demand_cluster()
     cluster.submit("n0", cluster.service(1, due_s=5.0, bookmark_s=10.0, stash_s=2.0, guess_s=30.0))
     run_steps(cluster, 60)
@@ -229,7 +241,7 @@
 
 
 @pytest.mark.parametrize("state", ["running", "backing off", "in flight", "silent"])
-def test_a_cancelled_service_is_gone_in_time_whatever_its_replicas_are_doing(state: str) -> None:
+def test_a_cancelled_service_ends_in_time_in_any_state_of_its_replicas(state: str) -> None:
     cluster = on_demand_cluster()
     cluster.submit("n0", cluster.service(1))
     if state == "in flight":
@@ -249,12 +261,12 @@
         cluster.network_cuts |= {(name, "n0") for name in replicas_by_machine(cluster)}
     assert cluster.cancel("n0", "req-000001") == "aborted"
     for _ in range(100):
-        cluster.step()  # checks `cancel_s`
+        cluster.step()  # each step checks `cancel_s`
         cluster.cloud_step("n0")
     assert running_tasks(cluster) == [] and not cluster.nodes["n0"].scheduler.state.jobs
 
 
-def test_a_failover_keeps_what_runs_and_starts_what_is_missing() -> None:
+def test_a_failover_keeps_running_replicas_and_starts_missing_ones() -> None:
     cluster = Cluster(3)
     for _ in range(3):
         cluster.machine("small", "north", spot=False)
@@ -269,7 +281,7 @@
     assert sorted(p for parts in after.values() for p in parts) == [f"req-000001/{n}" for n in range(3)]
 
 
-def test_a_replica_that_ends_for_ever_grows_neither_the_task_log_nor_the_memory() -> None:
+def test_a_replica_that_ends_repeatedly_grows_neither_the_task_log_nor_the_memory() -> None:
     cluster = on_demand_cluster(2, value_kb=1.0)
     cluster.submit("n0", cluster.service(1))
     scheduler = cluster.nodes["n0"].scheduler
@@ -288,16 +300,20 @@
     for worker in cluster.workers.values():
         worker.fails_starts = False
     run_steps(cluster, 80)
-    changed = cluster.store.rows.copy()
+    rows_before = cluster.store.rows.copy()
     run_steps(cluster, 200)
-    log = [k for k, row in cluster.store.rows.items() if k.startswith(records.LOG) and changed.get(k) != row]
-    assert len(running_tasks(cluster)) == 2 and not log, "what runs and does not change is not written again"
+    rewritten_rows = [
+        k for k, row in cluster.store.rows.items() if k.startswith(records.LOG) and rows_before.get(k) != row
+    ]
+    assert len(running_tasks(cluster)) == 2 and not rewritten_rows, (
+        "unchanged running replicas are not written again"
+    )
 
 
-def test_machines_are_launched_for_services_before_they_come_and_kept_while_they_stand() -> None:
+def test_on_demand_machines_are_reserved_for_services_and_deleted_without_services() -> None:
     cluster = on_demand_cluster(0)
     scheduler = cluster.nodes["n0"].scheduler
-    scheduler.state.objectives.service_classes = {"desk"}  # as the aims of a site with services name them
+    scheduler.state.objectives.service_classes = {"desk"}  # as configured for a site with services
     cluster.cloud_step("n0")
     assert {(worker.kind.name, worker.spot) for worker in cluster.workers.values()} == {("small", False)}
     floor = len(cluster.workers)
@@ -306,7 +322,7 @@
     cluster.submit("n0", cluster.job(1, parts=30, crew="blue", loaners=True))
     run_steps(cluster, 4)
     assert len(running_tasks(cluster)) == 16, (
-        "work that may run anywhere runs there meanwhile, up to its team's limit"
+        "spot-tolerant work uses the reserve meanwhile, up to its team's limit"
     )
     cluster.submit("n0", cluster.service(2, parts=2, cpus=4.0))
     run_steps(cluster, 6)
@@ -314,26 +330,28 @@
     cluster.cloud_step("n0")
     run_steps(cluster, 4)
     assert sum(not worker.spot for worker in cluster.workers.values()) > floor, (
-        "the reserve grows with what stands"
+        "the reserve grows with the running services"
     )
     cluster.cancel("n0", "req-000001")
     for _ in range(60):
         cluster.step(2.0)
         cluster.cloud_step("n0")
     assert sum(not worker.spot for worker in cluster.workers.values()) >= floor, (
-        "empty machines of the reserve stay"
+        "idle machines of the reserve are kept"
     )
     cluster.cancel("n0", "req-000002")
     scheduler.state.objectives.service_classes = set()
     for _ in range(200):
         cluster.step(1.0)
         cluster.cloud_step("n0")
-    assert not cluster.workers, "and goes when nothing stands any more"
+    assert not cluster.workers, "the reserve is deleted when no service is left"
+
 
+def test_machines_are_launched_only_in_zones_that_waiting_work_may_use() -> None:
+    """Found by the tests with random faults.
 
-def test_machines_are_launched_in_the_zone_that_waiting_work_may_use() -> None:
-    """Found by the random faults: the last replica had to be apart, and 70 machines were launched beside the
-    others."""
+    The last replica had to run in another zone, but 70 machines were launched in the zone of the others.
+    """
     cluster = on_demand_cluster(0)
     cluster.machine("small", "north", spot=False)
     run_steps(cluster, 3)
@@ -350,7 +368,7 @@
     assert len(running_tasks(cluster)) == 6
 
 
-def test_standing_services_get_enough_machines_of_each_type(cluster: Cluster) -> None:
+def test_service_launches_cover_the_demand_per_machine_type(cluster: Cluster) -> None:
     types = cluster.nodes["n0"].scheduler.types
     small, cards = scaling.MachinePool(0, 0, False), scaling.MachinePool(1, 0, False)
     group = scaling.Group(frozenset({small, cards}), {0: 6.0, 1: 3.0})
@@ -361,37 +379,43 @@
     planned = scaling.plan_service_launches([group], types, {small: 3}, none)
     assert [(r.pool, r.count) for r in planned] == [(small, 3)]
     planned = scaling.plan_service_launches([group], types, {small: 3}, frozenset({small}))
-    assert [(r.pool, r.count) for r in planned] == [(cards, 2)], "another kind where the first is refused"
+    assert [(r.pool, r.count) for r in planned] == [(cards, 2)], (
+        "another machine type if the first is refused"
+    )
     assert scaling.plan_service_launches([group], types, {small: 3, cards: 2}, none) == []
 
 
-def test_a_replica_goes_where_its_image_is_but_not_beside_another_of_its_job(cluster: Cluster) -> None:
+def test_replica_placement_prefers_cached_images_and_stable_machines(cluster: Cluster) -> None:
     node = cluster.nodes["n0"]
     cluster.submit("n0", cluster.service(1))
     node.watch_cache.pull(0.0)
     job = node.scheduler.state.jobs["req-000001"]
-    has = Machine(0, "has", images={job.image: True}, free_cpus=4.0)
-    busy = Machine(1, "busy", images={99: False}, free_cpus=4.0)
-    free = Machine(2, "free", free_cpus=4.0)
-    order = sorted([free, busy, has], key=lambda m: placement_rules.replica_rank(job, m, {}, 4.0, 6.0))
+    with_image = Machine(0, "has", images={job.image: True}, free_cpus=4.0)
+    fetching = Machine(1, "busy", images={99: False}, free_cpus=4.0)
+    idle = Machine(2, "free", free_cpus=4.0)
+    order = sorted(
+        [idle, fetching, with_image], key=lambda m: placement_rules.replica_rank(job, m, {}, 4.0, 6.0)
+    )
     assert [m.name for m in order] == ["has", "free", "busy"]
-    has.last_heartbeat_at = 100.0
-    assert placement_rules.is_stable(has, 101.0, 5.0) and not placement_rules.is_stable(has, 106.0, 5.0), (
-        "not if silent"
+    with_image.last_heartbeat_at = 100.0
+    assert placement_rules.is_stable(with_image, 101.0, 5.0) and not placement_rules.is_stable(
+        with_image, 106.0, 5.0
+    ), "a machine with a late heartbeat is not stable"
+    with_image.failed_at = 95.0
+    assert not placement_rules.is_stable(with_image, 101.0, 5.0), (
+        "a machine with a recent failure is not stable"
     )
-    has.failed_at = 95.0
-    assert not placement_rules.is_stable(has, 101.0, 5.0), "nor where something has just failed"
-    assert placement_rules.is_stable(has, 101.0 + placement_rules.FAILURE_MEMORY_S, 500.0), (
-        "but that is forgotten"
+    assert placement_rules.is_stable(with_image, 101.0 + placement_rules.FAILURE_MEMORY_S, 500.0), (
+        "a failure is ignored after FAILURE_MEMORY_S"
     )
 
 
-def test_the_balancer_moves_a_replica_for_no_lesser_work_and_only_to_its_image() -> None:
+def test_the_balancer_moves_a_replica_only_for_a_service_and_only_to_a_machine_with_its_image() -> None:
     cluster = on_demand_cluster(1)
     cluster.cloud.capacity = 0
     cluster.submit("n0", cluster.service(1, crew="blue", parts=1))
     run_steps(cluster, 16)
-    here = next(iter(replicas_by_machine(cluster)))
+    original_machine = next(iter(replicas_by_machine(cluster)))
     for _ in range(2):
         cluster.machine("cards", "north", spot=False)
     run_steps(cluster, 3)
@@ -399,18 +423,20 @@
     run_steps(cluster, 3)
     cluster.submit("n0", cluster.service(3, crew="blue", parts=1, cpus=4.0, builds=["small"]))
     run_steps(cluster, 30)
-    assert list(replicas_by_machine(cluster)) == [here], "no gap as long as a fetch"
+    assert list(replicas_by_machine(cluster)) == [original_machine], (
+        "a replica is not moved to a machine that must fetch its image"
+    )
     cluster.cancel("n0", "req-000003")
     cluster.submit("n0", cluster.job(2, crew="blue", parts=1, cpus=4.0, builds=["small"], rank="urgent"))
-    # This one brings the image there.
+    # This service causes the image to be fetched by a GPU machine.
     cluster.submit("n0", cluster.service(4, crew="blue", parts=1, cpus=0.5, builds=["cards"]))
     run_steps(cluster, 30)
-    assert list(replicas_by_machine(cluster)) == [here], "nor any for what may wait"
+    assert list(replicas_by_machine(cluster)) == [original_machine], "a replica is not moved for an array"
     cluster.submit("n0", cluster.service(6, crew="blue", parts=1, cpus=4.0, builds=["small"]))
     run_steps(cluster, 30)
-    assert list(replicas_by_machine(cluster)) != [here] and list(
+    assert list(replicas_by_machine(cluster)) != [original_machine] and list(
         replicas_by_machine(cluster, "req-000006")
-    ) == [here]
+    ) == [original_machine]
     assert cluster.nodes["n0"].scheduler.state.moves == 1
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Load spread: decisions over random fleets, and the leader's migrations in the simulated cluster."""
+"""Load spread: machine choice and migration plans on random fleets, and migrations in a simulated cluster."""
 
 import dataclasses
 import random
@@ -23,14 +23,14 @@
 
 SPREAD = Policy(hold_s=0.0, hold_idle_s=0.0, spread=True, spread_rest_s=20.0, extra_classes=("sweep",))
 PACKED = Policy(hold_s=0.0, hold_idle_s=0.0)
-FETCH_S = 2.0  # of an image by a machine that has its link to itself
+FETCH_S = 2.0  # time to fetch an image over an otherwise idle link
 
 
 # -- choosing machines
 
 
 def choose(job: Job, fleet: list[Machine], count: int, weights: Weights) -> list[Machine]:
-    """Machines for `count` tasks; each is reserved before the next is chosen."""
+    """Choose machines for `count` tasks; capacity is reserved for each task before the next choice."""
     average = 1.0 - sum(m.free_cpus for m in fleet) / sum(m.cpus for m in fleet)
     chooser = Chooser(job, fleet, average, weights, lambda machine: FETCH_S)
     chosen: list[Machine] = []
@@ -43,7 +43,7 @@
 
 
 def idle_machines(count: int) -> list[Machine]:
-    """Machines without tasks and images, in two zones."""
+    """Machines without tasks and cached images, in two zones."""
     return [
         Machine(
             n,
@@ -72,33 +72,33 @@
     assert all(may_take(machine) for machine in chosen)
     assert all(m.free_cpus >= -1e-6 and m.free_mem >= -1e-6 for m in fleet)
     fits = [m for m in fleet if may_take(m) and m.has_room(job.spec)]
-    assert len(chosen) == count or not fits, "remaining capacity is used"
+    assert len(chosen) == count or not fits, (
+        "fewer machines than tasks only if no eligible machine has capacity left"
+    )
 
 
 @pytest.mark.parametrize(
-    ("weights", "holder_wins"),
+    ("weights", "prefers_cached_image"),
     [
-        (Weights(load_s=0.0), True),  # locality alone
-        (Weights(fetch=0.0), False),  # balance alone
-        (
-            Weights(fetch=1.0, load_s=10.0),
-            False,
-        ),  # a fetch of 2 s is cheaper than three quarters of a machine
+        (Weights(load_s=0.0), True),  # image locality only
+        (Weights(fetch=0.0), False),  # load balance only
+        # The load of a machine in use to three quarters costs more than a fetch of 2 s.
+        (Weights(fetch=1.0, load_s=10.0), False),
         (Weights(fetch=10.0, load_s=10.0), True),
     ],
 )
-def test_the_weights_decide_between_a_busy_machine_with_the_image_and_an_idle_one(
-    weights: Weights, holder_wins: bool
+def test_weights_decide_between_a_busy_machine_with_the_image_and_an_idle_one(
+    weights: Weights, prefers_cached_image: bool
 ) -> None:
     busy, idle = idle_machines(2)
     busy.images[1] = True
     busy.free_cpus = 0.25 * CPUS
     chosen = choose(make_job(1, 1.0, 1.0, None, True), [busy, idle], 1, weights)
-    assert chosen == [busy if holder_wins else idle]
+    assert chosen == [busy if prefers_cached_image else idle]
 
 
 def test_machines_with_a_popular_image_get_more_load_but_are_not_filled() -> None:
-    """They are filled up to where a fetch costs less than their load."""
+    """They get tasks until their load costs more than fetching the image elsewhere."""
     fleet = idle_machines(20)
     for machine in fleet[:3]:
         machine.images[1] = True
@@ -106,11 +106,11 @@
     choose(job, fleet, 40, Weights())
     loads = [1.0 - m.free_cpus / m.cpus for m in fleet]
     assert max(loads) <= 2.0 * sum(loads) / len(loads)
-    assert min(loads[:3]) > sum(loads[3:]) / len(loads[3:]), "they get more than the others"
+    assert min(loads[:3]) > sum(loads[3:]) / len(loads[3:]), "machines with the image get more load"
 
 
-def test_without_cached_images_the_choice_is_repeatable_and_spread() -> None:
-    """As after the return of a zone: no machine fetches for all, and the same ones are chosen each time."""
+def test_without_cached_images_the_choice_is_deterministic_and_spread() -> None:
+    """As after the return of a zone: several machines fetch the image, and each run chooses the same ones."""
     first = choose(make_job(1, 1.0, 1.0, None, True), idle_machines(12), 6, Weights())
     again = choose(make_job(1, 1.0, 1.0, None, True), idle_machines(12), 6, Weights())
     assert [m.name for m in first] == [m.name for m in again]
@@ -134,7 +134,7 @@
 
 @st.composite
 def hosts(draw: st.DrawFn) -> list[Host]:
-    """Machines with tasks, as `rebalance` takes them."""
+    """Machines with tasks, in the form that `rebalance` expects."""
     drawn = []
     for index in range(draw(st.integers(2, 8))):
         cpus = draw(st.sampled_from([4.0, 8.0]))
@@ -151,16 +151,18 @@
 ) -> None:
     before = {host.index: (host.free, list(host.items)) for host in fleet}
     plan = rebalance(fleet, threshold, Counts(4, 3, max_moves), lambda key, target: True, random.Random(seed))
-    assert {host.index: (host.free, host.items) for host in fleet} == before, "trials change nothing"
+    assert {host.index: (host.free, host.items) for host in fleet} == before, (
+        "planning does not modify the machines"
+    )
     if plan is None:
         return
     assert 0 < len(plan.relocations) <= max_moves
     keys = [relocation.key for relocation in plan.relocations]
-    assert len(set(keys)) == len(keys), "no task is migrated twice"
+    assert len(set(keys)) == len(keys), "no task migrates twice"
     loads = first = {host.index: host.load for host in fleet}
-    by_index = {host.index: host for host in fleet}
+    hosts_by_index = {host.index: host for host in fleet}
     for relocation in plan.relocations:
-        source, target = by_index[relocation.source], by_index[relocation.target]
+        source, target = hosts_by_index[relocation.source], hosts_by_index[relocation.target]
         need = next(item.demand for item in before[source.index][1] if item.key == relocation.key)
         assert tempered.criterion(need[0] / target.cpus, loads[source.index], loads[target.index])
         assert tempered.fits(need, target.free)
@@ -168,27 +170,27 @@
         loads = {host.index: host.load for host in fleet}
     assert abs(tempered.imbalance(loads.values()) - plan.after) < 1e-6
     assert plan.after <= plan.before + 1e-6
-    above = [
+    excess_loads = [
         sum(max(0.0, load - limit) for load in found)
         for found, limit in (
             (first.values(), threshold * sum(first.values()) / len(first)),
             (loads.values(), threshold * sum(loads.values()) / len(loads)),
         )
     ]
-    assert plan.after < plan.before - 1e-6 or above[1] < above[0]
+    assert plan.after < plan.before - 1e-6 or excess_loads[1] < excess_loads[0]
 
 
 @given(hosts(), st.integers(0, 50))
-def test_successive_plans_come_to_an_end(fleet: list[Host], seed: int) -> None:
-    """No migration undoes another: with plan after plan applied, the fleet settles."""
+def test_successive_migration_plans_converge(fleet: list[Host], seed: int) -> None:
+    """No migration undoes another one: after a finite number of plans, no further plan is made."""
     rng = random.Random(seed)
-    by_index = {host.index: host for host in fleet}
+    hosts_by_index = {host.index: host for host in fleet}
     for _ in range(200):
         plan = rebalance(fleet, 1.0, Counts(4, 3, 2), lambda key, target: True, rng)
         if plan is None:
             break
         for relocation in plan.relocations:
-            source, target = by_index[relocation.source], by_index[relocation.target]
+            source, target = hosts_by_index[relocation.source], hosts_by_index[relocation.target]
             item = next(i for i in source.items if i.key == relocation.key)
             source.items.remove(item)
             target.items.append(item)
@@ -197,11 +199,14 @@
                 tempered.sub(target.free, item.demand),
             )
     else:
-        pytest.fail("no end of migrations")
+        pytest.fail("migration plans do not converge")
 
 
-def test_a_small_budget_relieves_equally_loaded_machines_one_after_the_other() -> None:
-    """The highest load falls only with the last of them: judged by that alone, no plan was made."""
+def test_a_small_budget_relieves_equally_loaded_machines_one_at_a_time() -> None:
+    """Guards against a planner that makes no plan when several machines share the highest load.
+
+    The highest load decreases only when the last of them is relieved, so it must not be the only criterion.
+    """
     fleet = [
         Host(n, 4.0, (0.0, 0.0, 0.0), [Item((f"req-{n}/{t}", 1), (1.0, 0.0, 1.0)) for t in range(4)])
         for n in range(3)
@@ -212,7 +217,7 @@
     assert len(plan.relocations) == 1
 
 
-def test_no_plan_where_no_migration_helps() -> None:
+def test_no_plan_is_made_when_no_migration_helps() -> None:
     balanced = [Host(n, 4.0, (3.0, 0.0, 3.0), [Item((f"req-{n}/0", 1), (1.0, 0.0, 1.0))]) for n in range(4)]
     one_large = [Host(n, 4.0, (4.0, 0.0, 4.0), []) for n in range(3)]
     one_large.append(Host(3, 4.0, (0.0, 0.0, 0.0), [Item(("req-9/0", 1), (4.0, 0.0, 4.0))]))
@@ -266,7 +271,7 @@
 
 
 def unbalanced_cluster(tasks: int = 4, nodes: int = 1, **job: Any) -> Cluster:
-    """Four machines, one of which runs all tasks of job 1, and a leader that spreads load."""
+    """Four machines, of which one runs all tasks of job 1, and a leader with load spread enabled."""
     cluster = started_cluster(machines=4, nodes=nodes, policy=PACKED)
     fields = {"crew": "open", "parts": tasks, "bookmark_s": 5.0, "stash_s": 1.0, "guess_s": 900.0} | job
     cluster.submit("n0", cluster.job(1, **fields))
@@ -284,14 +289,14 @@
 
 
 def restarts(cluster: Cluster) -> dict[str, int]:
-    """How often each task was started again."""
+    """Task -> number of its restarts."""
     return {task_id: len(workers) - 1 for task_id, workers in cluster.started_on.items()}
 
 
-def test_running_tasks_leave_an_overloaded_machine_and_migrate_at_most_once() -> None:
+def test_running_tasks_migrate_from_an_overloaded_machine_at_most_once() -> None:
     cluster = unbalanced_cluster()
     run_for(cluster, 120.0, cloud=False)
-    assert task_counts(cluster)[-1] <= 2, "at most twice the average"
+    assert task_counts(cluster)[-1] <= 2, "highest load is at most twice the average"
     assert len(running_tasks(cluster)) == 4
     assert max(restarts(cluster).values()) == 1
     assert sum(restarts(cluster).values()) <= 3
@@ -302,8 +307,8 @@
 @pytest.mark.parametrize(
     "job",
     [
-        {"bookmark_s": 0.0},  # it takes no checkpoints
-        {"guess_s": 12.0},  # it ends soon
+        {"bookmark_s": 0.0},  # saves no checkpoints
+        {"guess_s": 12.0},  # expected to end soon
     ],
 )
 def test_tasks_without_checkpoints_or_near_their_end_are_not_migrated(job: dict[str, Any]) -> None:
@@ -335,7 +340,7 @@
             run_for(cluster, 40.0, cloud=False)
             cluster.boot(cluster.leader() or "n0")
             run_for(cluster, 8.0, cloud=False)
-            # Tasks of all machines but one are lost and placed on that one again: always a reason to migrate.
+            # Tasks of all machines but one are lost and placed on that one again, so the load is unbalanced.
             scheduler = cluster.nodes[cluster.leader() or "n0"].scheduler
             scheduler.state.policy = PACKED
             _, *others = sorted(cluster.workers.values(), key=lambda worker: -len(worker.running()))
@@ -345,11 +350,13 @@
             run_for(cluster, 4.0, cloud=False)
             scheduler.state.policy = SPREAD
     migrated = [r.getMessage().split()[1] for r in caplog.records if r.getMessage().startswith("migrating: ")]
-    assert migrated and len(set(migrated)) == len(migrated), "each task once, across all leaders"
+    assert migrated and len(set(migrated)) == len(migrated), (
+        "each task migrates at most once, across all leaders"
+    )
 
 
 def decide_migration(cluster: Cluster) -> Placement:
-    """Advance until a migration is decided and not yet written; the placement that it concerns."""
+    """Advance until a migration is decided but not yet written; returns the placement to be migrated."""
     scheduler = cluster.nodes["n0"].scheduler
     for _ in range(120):
         cluster.pass_time(0.5)
@@ -361,8 +368,8 @@
     pytest.fail("no migration was decided")
 
 
-def overtake(cluster: Cluster, event: str, placement: Placement, target: int) -> None:
-    """Let an event happen to a task while it migrates to `target`."""
+def trigger_event(cluster: Cluster, event: str, placement: Placement, target: int) -> None:
+    """Trigger an event while a task migrates to machine `target`."""
     node = cluster.nodes["n0"]
     if event == "done":
         cluster.finish(placement.task_id)
@@ -379,9 +386,11 @@
 
 @pytest.mark.parametrize("counted", [False, True])
 @pytest.mark.parametrize("event", ["done", "cancelled", "target", "leader"])
-def test_a_migration_that_is_overtaken_by_an_event(event: str, counted: bool) -> None:
-    """Its task completes or is cancelled, its target is deleted, or the leader ends, before or after the
-    migration is durable and the stop command sent."""
+def test_an_event_during_a_migration_is_handled(event: str, counted: bool) -> None:
+    """The task completes or its job is cancelled, the target is deleted, or the leader restarts.
+
+    The event happens either before or after the migration is durable and the stop command is sent.
+    """
     cluster = unbalanced_cluster()
     placement = decide_migration(cluster)
     node = cluster.nodes["n0"]
@@ -390,7 +399,7 @@
         node.commit_loop.commit_once()
         assert placement.stopping
         assert node.scheduler.state.moves >= 1
-    overtake(cluster, event, placement, target)
+    trigger_event(cluster, event, placement, target)
     if event != "leader" and not counted:
         before = node.scheduler.state.moves, set(node.scheduler.state.stopping)
         node.watch_cache.pull(0.0)
@@ -425,7 +434,7 @@
 
 
 def test_capacity_for_a_migrating_task_is_reserved_for_its_job_alone() -> None:
-    """Where two jobs shared a reservation, the second found it used and was placed where it had been."""
+    """When two jobs shared a reservation, the first used it and the second stayed on its old machine."""
     cluster = unbalanced_cluster(tasks=2)
     scheduler = cluster.nodes["n0"].scheduler
     scheduler.state.policy = PACKED
@@ -459,7 +468,7 @@
     assert records.migration_counts_key("req-000001") in cluster.store.rows
     cluster.cancel("n0", "req-000001")
     run_for(cluster, 5.0, cloud=False)
-    cluster.submit("n0", cluster.job(2, crew="open"))  # a change with which the counts are deleted
+    cluster.submit("n0", cluster.job(2, crew="open"))  # the counts are deleted together with another change
     run_for(cluster, 5.0, cloud=False)
     assert records.migration_counts_key("req-000001") not in cluster.store.rows
 
@@ -475,7 +484,7 @@
         pytest.param({"deleting": True}, id="deleting"),
     ],
 )
-def test_an_idle_machine_in_such_a_condition_is_no_migration_target(change: dict[str, object]) -> None:
+def test_an_unavailable_idle_machine_is_no_migration_target(change: dict[str, object]) -> None:
     machine = idle_machines(1)[0]
     machine.registered, machine.last_heartbeat_at = True, 100.0
     assert snapshot_of(machine, 101.0).accepts(5.0)
@@ -485,15 +494,18 @@
 
 
 def test_a_placement_hint_has_priority_over_machines_with_the_image() -> None:
-    """The search of machines with the image dropped the hint: the task was placed where it had been."""
+    """Guards against the search for machines with the image ignoring the hint.
+
+    The task was then placed on its old machine again.
+    """
     cluster = started_cluster(machines=4, policy=PACKED)
     scheduler = cluster.nodes["n0"].scheduler
     cluster.submit("n0", cluster.job(1, crew="open", parts=1))
     cluster.nodes["n0"].watch_cache.pull(0.0)
     job = scheduler.state.jobs["req-000001"]
-    holder, target = sorted(scheduler.state.machines)[:2]
-    scheduler.state.machines[holder].images[job.image] = True
-    scheduler.state.capacity_index.holds(scheduler.state.machines[holder], job.image)
+    image_machine, target = sorted(scheduler.state.machines)[:2]
+    scheduler.state.machines[image_machine].images[job.image] = True
+    scheduler.state.capacity_index.holds(scheduler.state.machines[image_machine], job.image)
     job.hints[0] = target
     scheduler.round()
     assert job.open[0].machine == target
