--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -155,7 +155,7 @@
         node: Controller
 
         def pause(event: Any, seconds: float) -> None:
-            # In a real controller, group commit and leadership verification have threads of their own.
+            # In a real controller, other threads commit and verify the leadership during the wait.
             try:
                 if node.scheduler.leader:
                     node.commit_loop.commit_once()
--- a/tests/fakes/key_value_store.py
+++ b/tests/fakes/key_value_store.py
@@ -41,7 +41,7 @@
         # controller -> delay: its transactions get no response and are executed after the delay.
         self.write_delay_s: dict[str, float] = {}
         self.late_writes: list[tuple[float, dict[str, int], list[Put]]] = []  # (due time, conditions, puts)
-        self.late_write_count = 0  # number of delayed transactions that were applied
+        self.late_write_count = 0  # number of `late_writes` that were applied
         # Controllers whose reads get no response; their transactions are still executed.
         self.reads_unanswered_for: set[str] = set()
         self.written_sizes: list[int] = []
--- a/tests/fakes/scenarios.py
+++ b/tests/fakes/scenarios.py
@@ -28,8 +28,7 @@
 def run_for(cluster: Cluster, seconds: float, cloud: bool = True, heartbeats: bool = True) -> None:
     """Advance the cluster in steps of 0.5 s. Workers find a controller by themselves, and no task ends.
 
-    Without `cloud`, no controller launches, lists or deletes machines. Without `heartbeats`, no worker sends
-    any.
+    `cloud`: whether controllers launch, list and delete machines. `heartbeats`: whether workers send any.
     """
     for _ in range(int(seconds * 2)):
         cluster.pass_time(0.5)
@@ -78,7 +77,7 @@
         for worker in cluster.workers.values():
             cluster.heartbeat_to_any(worker)
     cluster.paused.clear()
-    assert cluster.nodes[old].scheduler.leader, "it resumes with its state from before the pause"
+    assert cluster.nodes[old].scheduler.leader, "the paused leader resumes with its old state"
     return cluster, old
 
 
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -41,9 +41,8 @@
             cluster.machine("small", zone, spot)
     for _ in range(3):
         cluster.step()
-    cluster.submit(
-        "n0", cluster.job(1, parts=8, together=True, crew="blue")
-    )  # the cluster checks every start
+    # The cluster checks the constraints at every start of a task.
+    cluster.submit("n0", cluster.job(1, parts=8, together=True, crew="blue"))
     cluster.submit("n0", cluster.job(2, parts=5, apart=True, crew="red"))
     cluster.submit("n0", cluster.job(3, parts=1, loaners=False, yard="south", crew="red"))
     for _ in range(6):
@@ -92,7 +91,7 @@
     assert cluster.nodes["n0"].scheduler.state.refusals > 0
 
 
-def test_a_job_prefers_machines_with_its_image_while_others_can_use_the_rest() -> None:
+def test_capacity_goes_to_a_job_whose_image_is_cached_before_a_smaller_job_without_it() -> None:
     cluster = started_cluster(machines=4)  # 16 CPUs
     scheduler = cluster.nodes["n0"].scheduler
     cluster.submit("n0", cluster.job(1, crew="blue", parts=8, bundle="img-a", guess_s=10.0))
@@ -133,7 +132,7 @@
     cluster = started_cluster(machines=1)
     scheduler = cluster.nodes["n0"].scheduler
     for number, guess in enumerate([5.0, 90.0, 30.0], 1):
-        # 5 CPUs exceed the guarantee of 4, so the job is not within it.
+        # The job needs 5 CPUs and so exceeds its team's guarantee of 4.
         cluster.submit("n0", cluster.job(number, parts=5, guess_s=guess))
     run_for(cluster, 2.0, cloud=False)
     assert {p.split("/")[0] for p in running_tasks(cluster)} == {"req-000002"}
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -212,7 +212,7 @@
     assert len(running_tasks(cluster)) == 4, "machines are launched for the other service instead"
 
 
-def test_a_service_that_can_never_be_placed_is_answered_422() -> None:
+def test_a_service_that_can_never_be_placed_is_rejected_with_422() -> None:
     cluster = on_demand_cluster()
     node = cluster.nodes["n0"]
     assert node.submit(cluster.service(1, parts=9))[0] == 422, "CPUs of all replicas exceed the limit"
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -159,7 +159,7 @@
     assert 0 < len(plan.relocations) <= max_moves
     keys = [relocation.key for relocation in plan.relocations]
     assert len(set(keys)) == len(keys), "no task migrates twice"
-    loads = first = {host.index: host.load for host in fleet}
+    loads = initial_loads = {host.index: host.load for host in fleet}
     hosts_by_index = {host.index: host for host in fleet}
     for relocation in plan.relocations:
         source, target = hosts_by_index[relocation.source], hosts_by_index[relocation.target]
@@ -171,9 +171,9 @@
     assert abs(tempered.imbalance(loads.values()) - plan.after) < 1e-6
     assert plan.after <= plan.before + 1e-6
     excess_loads = [
-        sum(max(0.0, load - limit) for load in found)
-        for found, limit in (
-            (first.values(), threshold * sum(first.values()) / len(first)),
+        sum(max(0.0, load - limit) for load in host_loads)
+        for host_loads, limit in (
+            (initial_loads.values(), threshold * sum(initial_loads.values()) / len(initial_loads)),
             (loads.values(), threshold * sum(loads.values()) / len(loads)),
         )
     ]
@@ -434,7 +434,7 @@
 
 
 def test_capacity_for_a_migrating_task_is_reserved_for_its_job_alone() -> None:
-    """When two jobs shared a reservation, the first used it and the second stayed on its old machine."""
+    """Guards against a shared reservation: the first job used it, the second stayed on its old machine."""
     cluster = unbalanced_cluster(tasks=2)
     scheduler = cluster.nodes["n0"].scheduler
     scheduler.state.policy = PACKED
