--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control: decisions, levels, demand and capacity, each by itself."""
+"""Unit tests of admission control: decisions, levels, demand and capacity."""
 
 import contextlib
 import itertools
@@ -50,7 +50,7 @@
 IDS = [f"req-{n:06d}" for n in range(2000)]
 
 
-def test_the_decision_depends_on_the_level_and_the_job_alone() -> None:
+def test_the_decision_depends_only_on_the_level_and_the_job() -> None:
     admitted = [name for name in IDS if decide(HALF_LEVEL, SWEEP, name).admitted]
     assert 0.45 < len(admitted) / len(IDS) < 0.55
     assert admitted == [
@@ -64,23 +64,25 @@
     assert admitted != [name for name in IDS if decide(other, SWEEP, name).admitted]
 
 
-def test_a_refusal_says_when_the_window_reaches_the_job() -> None:
+def test_levels_to_admission_states_when_the_window_reaches_a_refused_job() -> None:
     level = HALF_LEVEL
     for name in IDS[:200]:
-        left = levels_to_admission(level, level.windows[0], position(KEY, name))
+        levels_left = levels_to_admission(level, level.windows[0], position(KEY, name))
         decision = decide(level, SWEEP, name)
-        assert decision.admitted == (left == 0)
+        assert decision.admitted == (levels_left == 0)
         assert decision.admitted or 1 <= decision.retry_after_s <= choice.MAX_RETRY_S
-        later, window = level, level.windows[0]
-        for _ in range(left):
+        later_level, window = level, level.windows[0]
+        for _ in range(levels_left):
             assert not window.admits(position(KEY, name))
-            window = msgspec.structs.replace(window, start=(window.start + later.step(window)) % POSITIONS)
+            window = msgspec.structs.replace(
+                window, start=(window.start + later_level.step(window)) % POSITIONS
+            )
         assert window.admits(position(KEY, name))
 
 
 @pytest.mark.parametrize("floor", [0.05, 0.3, 1.0])
 def test_a_repeated_submission_is_admitted_after_a_bounded_number_of_levels(floor: float) -> None:
-    """The narrowest windows, step by step; the bound is the one that docs/admission.md states."""
+    """Checks windows of the minimum width, at several positions, against the bound in docs/admission.md."""
     narrowest = window_width(floor, TIMES.turn_s)
     bound = max_levels_to_admission(floor, TIMES.interval_s, TIMES.turn_s)
     level = msgspec.structs.replace(HALF_LEVEL, windows=(Window(1, "sweep", "red", 7, narrowest),))
@@ -88,18 +90,21 @@
         assert levels_to_admission(level, level.windows[0], position_at) < bound
 
 
-def test_no_sequence_of_widths_skips_a_position() -> None:
-    """Proved for any widths: no position is skipped between one window and the next, since the next one
-    starts within the one before (z3 finds no counterexample)."""
+def test_consecutive_windows_of_any_widths_skip_no_position() -> None:
+    """Proves with z3, for any widths, that no position is skipped between one window and the next.
+
+    The reason is that each window starts within the previous one; z3 finds no counterexample.
+    """
     start, width, following, position_at = z3.Ints("start width following where")
     step = z3.If(width * 2 / 30 > 1, width * 2 / 30, 1)
     solver = z3.Solver()
     solver.add(start >= 0, width >= 1, width <= POSITIONS, following >= 1, following <= POSITIONS)
-    # The window moves from `start` to the next start; a skipped position is one that it never covered.
+    # The window moves from `start` to `start + step`; a position in between that the old window did not
+    # cover would be skipped.
     solver.add(position_at >= start, position_at < start + step, position_at >= start + width)
     assert solver.check() == z3.unsat
     solver.reset()
-    past_the_end = start + width + 1  # a window that moves by more than its width does skip positions
+    past_the_end = start + width + 1  # a move by more than the width does skip positions
     solver.add(
         start >= 0, width >= 1, position_at >= start, position_at < past_the_end, position_at >= start + width
     )
@@ -113,7 +118,7 @@
     exempt: Sequence[str] = (),
     floors: Floors | None = None,
 ) -> dict[Flow, float]:
-    """The accepted rate of each flow."""
+    """Returns the accepted rate of each flow, in jobs per second."""
     return Allotment(capacity, demand, guarantees or {}, floors or Floors(0.05)).divide(exempt)
 
 
@@ -129,10 +134,12 @@
     rates = divide({red: 100.0, blue: 3.0, green: 2.0}, guarantees={"red": 4.0, "blue": 4.0})
     assert rates[blue] == pytest.approx(3.0)
     assert rates[red] == pytest.approx(5.5, abs=0.6)
-    assert 0 < rates[green] < 2.0, "without a guarantee, but it does not starve"
+    assert 0 < rates[green] < 2.0, "a team without a guarantee does not starve"
     urgent = Flow(2, "build", "red")
     rates = divide({urgent: 100.0, green: 2.0}, exempt=["green"])
-    assert rates[green] == pytest.approx(2.0), "a team within its guarantee precedes urgent jobs of others"
+    assert rates[green] == pytest.approx(2.0), (
+        "a team within its guarantee precedes urgent jobs of other teams"
+    )
 
 
 def test_a_flood_of_one_team_in_the_urgent_class_takes_nothing_from_other_teams() -> None:
@@ -165,7 +172,7 @@
 
 
 class SimulatedDemand:
-    """A level control that gets a demand, in steps of half a second."""
+    """Runs a level control against a given demand, in steps of half a second."""
 
     def __init__(self, capacity: float = 5.0) -> None:
         self.control = LevelControl(TIMES)
@@ -181,11 +188,12 @@
         accepted: dict[Flow, float] | None = None,
         backlog: dict[int, float] | None = None,
     ) -> Level | None:
-        """Apply this demand for some simulated seconds; the level that is then stored."""
+        """Applies this demand for some simulated seconds; returns the level that is stored at the end."""
         self.load = replace(self.load, demand=demand, accepted=accepted or demand, backlog_s=backlog or {})
         for _ in range(int(seconds * 2)):
             self.now += 0.5
-            key = KEY if self.stored is None else "08" * 32  # a new one counts when refusing begins
+            # A new key takes effect only when refusing begins.
+            key = KEY if self.stored is None else "08" * 32
             new_level = (
                 self.control.next_level(self.stored, self.load, self.now, 1e9 + self.now, key)
                 if self.control.is_due(self.now)
@@ -198,7 +206,7 @@
 
     @property
     def level(self) -> Level:
-        """The stored level; the test fails if there is none."""
+        """Returns the stored level; the test fails if there is none."""
         assert self.stored is not None
         return self.stored
 
@@ -210,7 +218,7 @@
     level = simulation.level
     assert level.reason == SUBMISSIONS
     assert [window.flow for window in level.windows] == [SWEEP]
-    assert len(simulation.levels) <= 20 / TIMES.interval_s + 1, "the minimum interval"
+    assert len(simulation.levels) <= 20 / TIMES.interval_s + 1, "levels keep the minimum interval"
     numbers = [level.number for level in simulation.levels]
     assert numbers == sorted(set(numbers))
     assert {(level.key, level.since) for level in simulation.levels} == {(KEY, simulation.levels[0].since)}
@@ -218,24 +226,26 @@
         moved = (after.windows[0].start - before.windows[0].start) % POSITIONS
         assert moved == before.step(before.windows[0]), "the window moves on without skipping a position"
     simulation.run(9, {SWEEP: 1.0})
-    assert not simulation.level.is_open, "within the capacity, but not for long enough"
+    assert not simulation.level.is_open, "the demand is within the capacity, but not yet for the clear time"
     simulation.run(4, {SWEEP: 4.5})
-    assert not simulation.level.is_open, "between the two bounds the state stays"
+    assert not simulation.level.is_open, "between the two thresholds the state does not change"
     simulation.run(14, {SWEEP: 1.0})
     opened = simulation.level
     assert opened.is_open
     assert opened.number == numbers[-1] + len(simulation.levels) - len(numbers)
     count_before = len(simulation.levels)
     simulation.run(60, {SWEEP: 5.5})
-    assert len(simulation.levels) == count_before, "everything stays admitted"
+    assert len(simulation.levels) == count_before, "everything must stay admitted"
 
 
-def test_the_widths_follow_the_rate_of_acceptances() -> None:
+def test_window_widths_follow_the_rate_of_acceptances() -> None:
     narrow, wide = SimulatedDemand(), SimulatedDemand()
     narrow.run(30, {SWEEP: 20.0}, {SWEEP: 15.0})
     wide.run(30, {SWEEP: 20.0}, {SWEEP: 1.0})
     assert narrow.level.windows[0].width < wide.level.windows[0].width
-    assert narrow.level.windows[0].width >= window_width(0.05, TIMES.turn_s), "the floor"
+    assert narrow.level.windows[0].width >= window_width(0.05, TIMES.turn_s), (
+        "the width never falls below the floor"
+    )
 
 
 def test_a_long_backlog_makes_the_level_refuse_that_class() -> None:
@@ -257,10 +267,10 @@
     simulation.run(9, {})
     assert simulation.level.number > before.number
     assert simulation.level.windows[0].width == before.windows[0].width
-    assert simulation.level.windows[0].start != before.windows[0].start, "but the window moves on"
+    assert simulation.level.windows[0].start != before.windows[0].start, "the window must still move on"
 
 
-def test_a_level_fits_into_a_value_and_keeps_its_narrowest_windows() -> None:
+def test_an_encoded_level_fits_into_a_value_and_keeps_its_narrowest_windows() -> None:
     windows = tuple(Window(1, "sweep", f"team-{n:03d}", 0, 100 + n) for n in range(500))
     level = msgspec.structs.replace(HALF_LEVEL, windows=windows)
     value = encode(level, 4096)
@@ -273,12 +283,12 @@
 @pytest.mark.parametrize(
     "change", [{"v": 2}, {"key": "x"}, {"key": "07"}, {"windows": 3}, {"turn_s": 0}, {"number": "a"}]
 )
-def test_a_value_that_is_no_level_of_this_form_is_unreadable(change: dict[str, object]) -> None:
+def test_a_malformed_level_is_unreadable(change: dict[str, object]) -> None:
     with pytest.raises(UnreadableLevelError):
         decode(encode(HALF_LEVEL, 4096) | change)
 
 
-def test_a_level_counts_only_if_every_live_controller_has_the_feature() -> None:
+def test_a_level_is_in_force_only_if_every_live_controller_has_the_feature() -> None:
     members = [Row(records.MEMBERS + name, f"i-{name}", 1) for name in ("n0", "n1")]
     stored_features = {
         name: Row(records.FEATURES + name, features.value(f"i-{name}", ["admission"]), 1)
@@ -295,13 +305,13 @@
     ]
 
 
-def test_jobs_are_counted_once_wherever_their_submission_is_repeated() -> None:
+def test_a_job_submitted_repeatedly_to_any_controllers_is_counted_once() -> None:
     demand = DistinctDemand(10.0)
     nodes = {name: SubmittedJobs() for name in ("n0", "n1", "n2")}
     rng = random.Random(3)
     for second in range(100):
         now = float(second)
-        for n in range(40):  # new jobs, and jobs of the last half minute again at any controller
+        for n in range(40):  # new jobs; the second loop repeats jobs of the last 30 s at any controller
             nodes[rng.choice(list(nodes))].note(SWEEP, f"req-{second}-{n}", now)
         for _ in range(200):
             again = f"req-{max(0, second - rng.randrange(30))}-{rng.randrange(40)}"
@@ -314,7 +324,7 @@
     assert demand.rates(150.0) == {}
     other = DistinctDemand(10.0)
     other.merge("n0", nodes["n0"].recent(99.0), 99.0)
-    assert other.rates(99.0) == {}, "a new leader counts no old job as new"
+    assert other.rates(99.0) == {}, "a new leader must not count old jobs as new"
 
 
 def test_rates_and_the_capacity_for_acceptances() -> None:
@@ -332,7 +342,9 @@
     assert capacity.per_s == pytest.approx(7.2)
     assert capacity.task_log_rps() == pytest.approx(3.84)
     capacity.update(True, 0, lag_s=99.0)
-    assert capacity.per_s < 7.2 and capacity.task_log_rps() > 3.84, "the task log is far behind"
+    assert capacity.per_s < 7.2 and capacity.task_log_rps() > 3.84, (
+        "the task log lags far behind, so it gets a larger share of the writes"
+    )
     capacity.update(False, 5, 99.0)
     assert capacity.per_s == pytest.approx(7.2), (
         "while the level refuses no jobs, refused writes do not lower the estimate"
@@ -347,7 +359,7 @@
         limiter.refused()
     now[0] += 10.0
     assert [limiter.take(False, None) for _ in range(3)] == [True, False, False], (
-        "few, and half of them for urgent jobs"
+        "a low rate, half of it reserved for urgent jobs"
     )
     assert [limiter.take(True, None) for _ in range(2)] == [True, False]
     for _ in range(50):
@@ -355,10 +367,12 @@
     now[0] += 1.0
     assert sum(limiter.take(True, None) for _ in range(20)) == 10
     now[0] += 1.0
-    assert sum(limiter.take(True, 3.0) for _ in range(20)) == 3, "the rate of the level, if that is less"
+    assert sum(limiter.take(True, 3.0) for _ in range(20)) == 3, (
+        "the rate of the level applies if it is lower"
+    )
 
 
-def test_requests_that_are_not_urgent_leave_a_share_of_the_concurrency_limit() -> None:
+def test_requests_that_are_not_urgent_use_only_a_share_of_the_concurrency_limit() -> None:
     limit = ConcurrencyLimit(start=8.0)
     with contextlib.ExitStack() as entered:
         assert [entered.enter_context(limit.enter(0.75)) for _ in range(7)] == [True] * 6 + [False]
@@ -371,7 +385,7 @@
     ]
 
 
-def test_the_admission_command_shows_the_level_or_says_why_not(
+def test_the_admission_command_shows_the_level_or_the_reason_why_it_cannot(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     service = StateService()
@@ -398,7 +412,7 @@
     assert "is out" in capsys.readouterr().err
 
 
-def test_the_report_of_a_level() -> None:
+def test_the_report_describes_a_level() -> None:
     assert "no level" in level_report.as_text(None, [])
     text = level_report.as_text(HALF_LEVEL, ["n1"])
     assert "refusing for submissions" in text
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -1,4 +1,4 @@
-"""Admission control with several controllers and faults, in the simulated cluster."""
+"""Tests of admission control with several controllers and injected faults, in the simulated cluster."""
 
 import logging
 import threading
@@ -48,7 +48,7 @@
 
 
 def admission_cluster(policy: Policy = ADMISSION_ON, machines: int = 4) -> Cluster:
-    """Three controllers with admission control, a leader and idle on-demand machines."""
+    """Returns a cluster of three controllers with admission control, a leader and idle on-demand machines."""
     cluster = Cluster(nodes=3, policy=policy, writes=10.0)
     for _ in range(machines):
         cluster.machine(spot=False)
@@ -63,26 +63,26 @@
 
 
 def level(share: float, number: int = 1, start: int = 0, key: str = KEY) -> Level:
-    """A level that admits this share of the positions of the flow SWEEP."""
+    """Returns a level that admits this share of the positions of the flow SWEEP."""
     width = int(share * POSITIONS)
     return Level(number, 1.0, key, "submissions", windows=(Window(1, "sweep", "red", start, width),))
 
 
 def publish(cluster: Cluster, value: object) -> int:
-    """Store a level in the leader's place; the revision of the store."""
+    """Stores an admission level as the leader would; returns the store's revision after the write."""
     outcome = cluster.store.execute({}, [Put(records.ADMISSION, value)])
     assert outcome.applied
     return outcome.revision
 
 
-def submission_of(cluster: Cluster, number: int, **fields: Any) -> bytes:
-    """The submission of a job of one task."""
+def submission_body(cluster: Cluster, number: int, **fields: Any) -> bytes:
+    """Returns the body of a submission of a job with one task."""
     return cluster.job(number, parts=1, **fields)
 
 
 def submit(cluster: Cluster, node: str, number: int, **fields: Any) -> SubmissionAnswer:
-    """Submit a job; the answer, with the revision of the level that a refusal names."""
-    body = submission_of(cluster, number, **fields)
+    """Submits a job; returns the answer, with the revision of the level that a refusal names."""
+    body = submission_body(cluster, number, **fields)
     response = cluster.nodes[node].submit(body)
     if response.status in (200, 201):
         cluster.specs[f"req-{number:06d}"] = jobs.parse_submission(body)
@@ -92,19 +92,19 @@
 
 
 def refused_number(in_force: Level, flow: Flow = SWEEP, start: int = 1) -> int:
-    """The number of the first job that this level refuses."""
+    """Returns the number of the first job from `start` on that this level refuses."""
     return next(n for n in range(start, 10_000) if not decide(in_force, flow, f"req-{n:06d}").admitted)
 
 
 def stored_level(cluster: Cluster) -> Level:
-    """The level in the store."""
+    """Returns the level in the store."""
     return msgspec.convert(cluster.store.rows[records.ADMISSION][0], Level)
 
 
 def flood(
     cluster: Cluster, seconds: float, first: int, per_s: int = 30, nodes: Sequence[str] = NODES, **fields: Any
 ) -> list[SubmissionAnswer]:
-    """Submit new jobs, numbered from `first`, and refused ones again after 3 s; all answers."""
+    """Submits new jobs, numbered from `first`, and each refused job again after 3 s; returns all answers."""
     answers: list[SubmissionAnswer] = []
     retries: list[tuple[float, int]] = []
     for step in range(int(seconds * 2)):
@@ -126,7 +126,7 @@
 def test_three_controllers_give_the_same_answer_while_the_level_changes(
     cluster: Cluster, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A controller reads the old level just before the new one is written: its acceptance must fail."""
+    """The level changes after a controller has read it and before the job is written: the write must fail."""
     publish(cluster, encode(level(0.5), 4096))
     strict = level(0.1, 2)
     number = next(
@@ -137,12 +137,12 @@
     )
     commit = cluster.store.execute
 
-    def level_first(conditions: dict[str, int], puts: list[Put]) -> Outcome:
+    def publish_level_before_acceptance(conditions: dict[str, int], puts: list[Put]) -> Outcome:
         if any(put.key.startswith(records.JOBS) for put in puts) and stored_level(cluster).number == 1:
             commit({}, [Put(records.ADMISSION, encode(strict, 4096))])
         return commit(conditions, puts)
 
-    monkeypatch.setattr(cluster.store, "execute", level_first)
+    monkeypatch.setattr(cluster.store, "execute", publish_level_before_acceptance)
     answers = [submit(cluster, node, number) for node in NODES]
     assert [answer.status for answer in answers] == [429, 429, 429]
     assert len({answer.revision for answer in answers}) == 1
@@ -157,7 +157,9 @@
 
 
 @pytest.mark.parametrize("fault", ["unreachable_from", "unavailable_to", "reads_unanswered_for"])
-def test_a_controller_without_the_store_decides_nothing_by_an_old_level(cluster: Cluster, fault: str) -> None:
+def test_a_controller_without_the_store_does_not_decide_by_a_stale_level(
+    cluster: Cluster, fault: str
+) -> None:
     publish(cluster, encode(level(0.5), 4096))
     admitted = next(n for n in range(1, 99) if decide(level(0.5), SWEEP, f"req-{n:06d}").admitted)
     assert submit(cluster, "n2", refused_number(level(0.5))).status == 429
@@ -168,23 +170,23 @@
 
 
 def admission_of(node: Controller) -> AdmissionPublisher:
-    """The controller's part of admission, which is on in all of these clusters."""
+    """Returns the controller's admission publisher; admission control is enabled in these clusters."""
     assert node.admission is not None
     return node.admission
 
 
-def test_a_level_that_is_applied_after_its_successors_has_no_effect(cluster: Cluster) -> None:
+def test_a_delayed_write_of_a_level_fails_after_newer_levels(cluster: Cluster) -> None:
     leader = cluster.require_leader()
     flood(cluster, 6, 1)
     cluster.store.delays_next_write_of.add(leader)
     node = cluster.nodes[leader]
     admission_of(node).control.not_written()
-    assert not cluster.try_step(admission_of(node).publish_once), "its response is lost"
+    assert not cluster.try_step(admission_of(node).publish_once), "the response to the write must be lost"
     assert cluster.store.delayed_writes
     assert cluster.store.delayed_writes[0][1][0].key == records.ADMISSION
     del cluster.nodes[leader]
-    rest = [name for name in NODES if name != leader]
-    flood(cluster, 8, 1000, nodes=rest)
+    other_nodes = [name for name in NODES if name != leader]
+    flood(cluster, 8, 1000, nodes=other_nodes)
     before = cluster.store.rows[records.ADMISSION]
     assert cluster.leader() not in (None, leader)
     assert not cluster.store.execute_delayed_writes()[0].applied
@@ -199,7 +201,7 @@
     assert [submit(cluster, node, number).status for node in NODES] == [200, 200, 200]
 
 
-def test_an_acceptance_that_is_applied_late_is_invalid_under_a_newer_level(cluster: Cluster) -> None:
+def test_a_delayed_write_of_an_acceptance_fails_under_a_newer_level(cluster: Cluster) -> None:
     number = refused_number(level(0.1))
     cluster.store.delays_next_write_of.add("n1")
     assert submit(cluster, "n1", number).status == 503
@@ -212,7 +214,7 @@
     publish(cluster, encode(level(0.1), 4096))
     number = refused_number(level(0.1))
     before = dict(cluster.store.rows)
-    response = cluster.nodes["n0"].submit(submission_of(cluster, number))
+    response = cluster.nodes["n0"].submit(submission_body(cluster, number))
     body = orjson.loads(response.body)
     assert (response.status, body["class"], body["team"], body["reason"]) == (
         429,
@@ -222,12 +224,18 @@
     )
     assert 1 <= response.retry_after_s <= 30
     assert cluster.store.rows == before
-    repeated = cluster.nodes["n1"].submit(submission_of(cluster, number))
-    assert (repeated.status, orjson.loads(repeated.body)) == (429, body), "the same from every controller"
-    assert submit(cluster, "n0", number, rank="urgent", lane="build").status == 201, "another flow"
+    repeated = cluster.nodes["n1"].submit(submission_body(cluster, number))
+    assert (repeated.status, orjson.loads(repeated.body)) == (429, body), (
+        "every controller must give the same answer"
+    )
+    assert submit(cluster, "n0", number, rank="urgent", lane="build").status == 201, (
+        "a job of another flow is admitted"
+    )
 
 
-def test_cancellations_queries_and_idempotent_requests_pass_in_a_flood(cluster: Cluster) -> None:
+def test_cancellations_queries_and_repeated_submissions_are_answered_while_jobs_are_refused(
+    cluster: Cluster,
+) -> None:
     number = refused_number(level(0.01))
     assert submit(cluster, "n0", number).status == 201
     publish(cluster, encode(level(0.01), 4096))
@@ -240,8 +248,8 @@
 def test_invalid_submissions_do_not_count_as_demand(cluster: Cluster) -> None:
     for number in range(1, 200):
         node = cluster.nodes[NODES[number % 3]]
-        assert node.submit(submission_of(cluster, number, crew="nobody")).status == 422
-        assert node.submit(submission_of(cluster, number, cpus=-1.0)).status == 400
+        assert node.submit(submission_body(cluster, number, crew="nobody")).status == 422
+        assert node.submit(submission_body(cluster, number, cpus=-1.0)).status == 400
         if not number % 20:
             cluster.step()
     assert not any(admission_of(node).gate.submitted().jobs for node in cluster.nodes.values())
@@ -278,25 +286,27 @@
     assert submit(cluster, "n0", refused_number(level(0.01), start=5000)).status == 429
 
 
-def test_a_flood_of_one_team_does_not_affect_the_others_and_ends() -> None:
-    """Nor the urgent class and a team without a guarantee; in the end all is admitted again."""
+def test_a_flood_of_one_team_does_not_affect_others_and_all_is_admitted_again_afterwards() -> None:
+    """No job of another team and no urgent job is refused; after the flood the level opens and stays open."""
     cluster = admission_cluster(machines=8)
     cluster.store.write_rps = 10.0
-    others = {"crew": "blue"}
-    answers, of_other_team, urgent = [], [], []
+    other_team = {"crew": "blue"}
+    answers, other_team_answers, urgent_answers = [], [], []
     for round_number in range(12):
         answers += flood(cluster, 1, 1000 + 100 * round_number, per_s=40)
-        of_other_team.append(submit(cluster, NODES[round_number % 3], 10 + round_number, **others))
-        urgent.append(
+        other_team_answers.append(submit(cluster, NODES[round_number % 3], 10 + round_number, **other_team))
+        urgent_answers.append(
             submit(cluster, NODES[round_number % 3], 50 + round_number, lane="build", rank="urgent")
         )
     refusing = stored_level(cluster)
     assert refusing.windows
     assert {window.team for window in refusing.windows} == {"red"}
-    assert {window.job_class for window in refusing.windows} == {"sweep"}, "urgent ones are admitted first"
-    assert all(answer.status != 429 for answer in of_other_team + urgent)
+    assert {window.job_class for window in refusing.windows} == {"sweep"}, "urgent jobs are admitted first"
+    assert all(answer.status != 429 for answer in other_team_answers + urgent_answers)
     leader = leader_of(cluster)
-    assert leader.commit_loop.writes.rate < 4.0, "the task log keeps to the writes that acceptances leave"
+    assert leader.commit_loop.writes.rate < 4.0, (
+        "the task log is limited to the write rate that acceptances leave"
+    )
     assert any(answer.status == 201 for answer in answers[-400:]), (
         "jobs of the flood itself are still accepted"
     )
@@ -306,7 +316,7 @@
         numbers.append(stored_level(cluster).number)
     assert stored_level(cluster).is_open
     assert leader.commit_loop.writes.rate == pytest.approx(7.0)
-    assert len(set(numbers[30:])) == 1, "no oscillation"
+    assert len(set(numbers[30:])) == 1, "the level must not oscillate"
     assert submit(cluster, "n1", 9999).status == 201
     history = [Row(row.key, row.value, row.version) for row in cluster.store.changes]
     flows = {answer.job_id: SWEEP for answer in answers}
@@ -323,9 +333,11 @@
     assert submit(cluster, leader, 5, lane="build", rank="urgent").status == 201
     for _ in range(4):
         cluster.step()
-    for urgent in (False, True):  # the urgent one is the last to end
+    for urgent in (False, True):  # the urgent job ends last
         for worker in cluster.workers.values():
-            for task_id in [p for p in worker.running() if p.startswith("req-000005") == urgent]:
+            for task_id in [
+                running for running in worker.running() if running.startswith("req-000005") == urgent
+            ]:
                 cluster.done_tasks.add(task_id)
                 worker.finish(task_id)
             cluster.heartbeat(worker)
@@ -337,13 +349,18 @@
     assert len(batch.over) == 1
 
 
-def test_accepted_jobs_are_noted_while_the_leader_computes_a_level(cluster: Cluster) -> None:
-    """The leader's state is locked when it notes an accepted job: no deadlock with the step."""
+def test_accepted_jobs_are_recorded_while_the_leader_computes_a_level(cluster: Cluster) -> None:
+    """Guards against a deadlock: accepted jobs are recorded under the lock of the leader's state.
+
+    The step gathers its facts under the same lock, so it must not hold the lock of the admission control
+    while it does.
+    """
     node = leader_of(cluster)
     control, task_log = admission_of(node).control, TaskLogFacts(0, 0.0)
 
     def gather() -> WorkloadFacts:
-        control.note_accepted(SWEEP, cluster.clock.now)  # as another thread does under the state's lock
+        # As another thread does that holds the lock of the leader's state.
+        control.note_accepted(SWEEP, cluster.clock.now)
         return WorkloadFacts(frozenset(), {})
 
     step = threading.Thread(
@@ -363,26 +380,26 @@
     assert not step.is_alive()
 
 
-def test_a_backlog_counts_only_while_the_cloud_has_no_more_machines() -> None:
+def test_a_backlog_counts_only_while_the_cloud_cannot_launch_more_machines() -> None:
     cluster = admission_cluster(machines=2)
     leader = cluster.require_leader()
     scheduler = cluster.nodes[leader].scheduler
     cluster.submit(leader, cluster.job(1, parts=50, guess_s=100.0, crew="open"))
     cluster.step()
-    assert scheduler.workload_facts().backlog_s == {}, "the fleet may still grow"
+    assert scheduler.workload_facts().backlog_s == {}, "more machines can still be launched"
     cluster.cloud.capacity = 0
     for _ in range(4):
         cluster.cloud_step(leader)
         cluster.step()
     facts = scheduler.workload_facts()
     assert facts.backlog_s[1] == pytest.approx(50 * 100.0 / 8.0, rel=0.2)
-    assert facts.over_guarantee == {"open"}, "50 CPUs of open work, none guaranteed"
+    assert facts.over_guarantee == {"open"}, "50 CPUs of work of the team `open`, which has no guarantee"
     cluster.machine(spot=False)
     cluster.machine(spot=False)
     cluster.cloud.capacity = 10
     cluster.pass_time(30.0)
     cluster.cloud_step(leader)
-    assert scheduler.workload_facts().backlog_s == {}, "machines are launched again"
+    assert scheduler.workload_facts().backlog_s == {}, "machines can be launched again"
 
 
 def test_a_new_leader_continues_the_level_during_a_flood(cluster: Cluster) -> None:
@@ -407,7 +424,7 @@
 
 
 class AdmissionUnderFaults(RuleBasedStateMachine):
-    """Three controllers, a level that changes, lost and late writes, and restarts, in any order."""
+    """Three controllers with random changes of the level, lost and delayed writes, outages and restarts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -428,20 +445,20 @@
     @rule(
         node=st.sampled_from(NODES), fault=st.sampled_from(["loses_next_response_to", "delays_next_write_of"])
     )
-    def lose(self, node: str, fault: str) -> None:
+    def inject_write_fault(self, node: str, fault: str) -> None:
         getattr(self.cluster.store, fault).add(node)
 
-    @rule(node=st.sampled_from(NODES), cut=st.booleans())
-    def cut(self, node: str, cut: bool) -> None:
-        (self.cluster.store.unavailable_to.add if cut else self.cluster.store.unavailable_to.discard)(node)
+    @rule(node=st.sampled_from(NODES), is_cut=st.booleans())
+    def change_store_connection(self, node: str, is_cut: bool) -> None:
+        (self.cluster.store.unavailable_to.add if is_cut else self.cluster.store.unavailable_to.discard)(node)
 
     @rule()
-    def carry_out_late(self) -> None:
+    def apply_delayed_writes(self) -> None:
         self.cluster.store.execute_delayed_writes()
 
-    @rule(node=st.sampled_from(NODES), knows=st.booleans())
-    def restart(self, node: str, knows: bool) -> None:
-        self.cluster.boot(node, ADMISSION_ON if knows else Policy(hold_s=0.0, hold_idle_s=0.0))
+    @rule(node=st.sampled_from(NODES), has_admission=st.booleans())
+    def restart(self, node: str, has_admission: bool) -> None:
+        self.cluster.boot(node, ADMISSION_ON if has_admission else Policy(hold_s=0.0, hold_idle_s=0.0))
 
     @precondition(lambda self: records.ADMISSION in self.cluster.store.rows)
     @rule()
@@ -449,11 +466,11 @@
         self.cluster.store.execute({}, [Put(records.ADMISSION, None)])
 
     @rule()
-    def go_on(self) -> None:
+    def execute_step(self) -> None:
         self.cluster.step()
 
     @invariant()
-    def no_acceptance_violates_its_level(self) -> None:
+    def answers_follow_the_level(self) -> None:
         flows = {f"req-{n:06d}": SWEEP for n in range(1, 7)}
         assert against_level(self.cluster.store.changes, flows) == []
         assert refused_wrongly(self.cluster.store.changes, self.answers, flows) == []
@@ -471,7 +488,7 @@
 FLOWS = {REFUSED_JOB: SWEEP}
 
 
-def test_the_checks_of_histories_find_violations() -> None:
+def test_the_history_checks_find_violations() -> None:
     assert against_level([LEVEL, ACCEPTANCE], FLOWS) == [REFUSED_JOB]
     assert against_level([ACCEPTANCE, LEVEL], FLOWS) == []
     assert against_level([Row(records.MEMBERS + "n0", "i", 1), LEVEL, ACCEPTANCE], FLOWS) == []
@@ -483,8 +500,8 @@
     assert refused_wrongly([Row(records.key(REFUSED_JOB), [], 3), LEVEL], [refused], FLOWS), (
         "refused after its acceptance"
     )
-    admitting = Row(records.ADMISSION, encode(level(1.0), 4096), 5)
-    assert refused_wrongly([admitting], [refused], FLOWS)
+    admitting_level = Row(records.ADMISSION, encode(level(1.0), 4096), 5)
+    assert refused_wrongly([admitting_level], [refused], FLOWS)
     assert chosen_differently([refused, *accepted_under([LEVEL, ACCEPTANCE])]) == [REFUSED_JOB]
     assert chosen_differently([refused, *accepted_under([ACCEPTANCE, LEVEL])]) == []
     done, forgotten = Event("req-1/0", 1, "vm-1", "done"), Event("req-1/0", 1, "vm-1", "forgotten")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""A settings file with an invalid value stops `check-config` and the start, naming the setting."""
+"""Tests of settings files: an invalid value stops `check-config` and `serve`, and the error names it."""
 
 import re
 from pathlib import Path
@@ -57,7 +57,7 @@
         ("rps = 3.0", "rps = 0.0", "cloud.rps"),
     ],
 )
-def test_check_config_names_the_setting_at_fault(
+def test_check_config_names_the_missing_or_invalid_setting(
     old: str, new: str, field: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "s.toml"
@@ -83,11 +83,11 @@
         ('write_rps = "x"', "write_rps"),
     ],
 )
-def test_upcoming_limits_are_checked_like_every_setting(line: str, field: str) -> None:
+def test_upcoming_limits_are_checked_like_other_settings(line: str, field: str) -> None:
     text = settings_text(next_limits=line)
     with pytest.raises(config.SettingsError, match=f"state.next.{field}"):
         config.parse(text)
     next_limits = config.parse(text.replace(line, "novelty = 3")).facts.state.next
     assert next_limits is not None and next_limits.value_kb is None, (
-        "each is optional, unknown ones are ignored"
+        "each limit is optional, and unknown settings are ignored"
     )
--- a/tests/test_deadline_bound.py
+++ b/tests/test_deadline_bound.py
@@ -1,4 +1,4 @@
-"""The bound of `tools/deadline_bound.py` on days small enough to work out by hand."""
+"""Tests of the bound that `tools/deadline_bound.py` computes, on days small enough to check by hand."""
 
 import math
 import random
@@ -7,7 +7,7 @@
 
 from tools.deadline_bound import Capacity, DrawnJob, bounds, draw_capacity, max_in_time
 
-TWO_CPUS = Capacity([0.0, 10.0], [1.0, 1.0])  # the second comes up after 10 s
+TWO_CPUS = Capacity([0.0, 10.0], [1.0, 1.0])  # the second CPU is up after 10 s
 
 SITE = {
     "machine_types": [{"name": "m", "cpus": 4.0, "boot_s": 10.0, "fetch_gb_per_s": 1.0}],
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(("at_s", "expected"), [(0.0, 0.0), (5.0, 5.0), (10.0, 10.0), (12.0, 14.0)])
-def test_work_is_done_by_the_machines_that_are_up(at_s: float, expected: float) -> None:
+def test_only_machines_that_are_up_do_work(at_s: float, expected: float) -> None:
     assert TWO_CPUS.work_until(at_s) == expected
 
 
@@ -52,17 +52,19 @@
         ([job(100.0, math.inf)], 1),
     ],
 )
-def test_as_many_jobs_as_fit_by_their_deadlines(jobs: list[DrawnJob], expected: int) -> None:
+def test_the_maximum_number_of_jobs_that_meet_their_deadlines(jobs: list[DrawnJob], expected: int) -> None:
     assert max_in_time(jobs, TWO_CPUS) == expected
 
 
 def test_work_of_higher_priorities_reduces_the_capacity() -> None:
     urgent = [job(8.0, 10.0, priority=1), job(50.0, 100.0, arrives_s=30.0, priority=1)]
     assert max_in_time([job(5.0, 10.0)], TWO_CPUS, urgent) == 0
-    assert max_in_time([job(2.0, 10.0)], TWO_CPUS, urgent) == 1, "jobs that arrive later take nothing yet"
+    assert max_in_time([job(2.0, 10.0)], TWO_CPUS, urgent) == 1, (
+        "urgent jobs that arrive later do not reduce the capacity"
+    )
 
 
-def test_initial_machines_are_up_and_the_others_boot() -> None:
+def test_initial_machines_are_up_at_once_and_others_after_their_boot_time() -> None:
     capacity = draw_capacity(random.Random(1), SITE)
     assert len(capacity.from_s) == 3
     assert capacity.from_s[0] == 0.0
--- a/tests/test_request_rates.py
+++ b/tests/test_request_rates.py
@@ -1,16 +1,16 @@
-"""How many requests the controllers send to the store and to the cloud."""
+"""Tests of the rates at which controllers send requests to the store and to the cloud."""
 
 from fakes.scenarios import started_cluster
 
 
-def test_the_watches_of_all_controllers_leave_most_requests_to_others() -> None:
+def test_the_watches_of_all_controllers_use_a_limited_share_of_the_request_rate() -> None:
     cluster = started_cluster(nodes=3)
     rps = cluster.nodes["n0"].settings.facts.state.rps
     pauses = [node.watch_step() for node in cluster.nodes.values()]
-    assert sum(1.0 / pause for pause in pauses) <= 0.35 * rps, "even if each change ends each watch"
+    assert sum(1.0 / pause for pause in pauses) <= 0.35 * rps, "even if every change ends every watch request"
 
 
-def test_calls_to_the_cloud_keep_within_their_rate() -> None:
+def test_calls_to_the_cloud_stay_within_the_rate_limit() -> None:
     cluster = started_cluster(machines=0)
     node = cluster.nodes["n0"]
     started_at = cluster.clock.now
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The service at 4,000 machines: a start, a failover and the loss of 500 machines, and its fixed limits."""
+"""Tests with 4,000 machines: start, failover, loss of 500 machines, and the rate and connection limits."""
 
 import collections
 import itertools
@@ -28,16 +28,19 @@
 from bayford.transport.http_server import HttpServer
 
 MACHINES = 4000
-CPUS = 4  # of each machine
-LOST = 500
+CPUS = 4  # per machine
+LOST_MACHINES = 500
 STEP_S = 0.5
-LEASE_S = 12.0  # of the simulated settings
-TRIES, RETRY_S = 80, 0.05  # together well below the time for which an idle connection of a worker is kept
-HEARTBEAT_STEPS = 4  # a worker sends a heartbeat every two seconds, as the settings say
+LEASE_S = 12.0  # as in the settings of the simulated cluster
+MAX_TRIES, RETRY_DELAY_S = 80, 0.05  # in total well below the idle timeout of a connection of a worker
+HEARTBEAT_STEPS = 4  # steps between two heartbeats of a worker: 2 s, as in the settings
 
 
-def pass_scaled(cluster: Cluster, seconds: float, until_running: int | None = None) -> None:
-    """Advance the clock; a quarter of the workers sends heartbeats in each half second, each every 2 s."""
+def run_with_many_machines(cluster: Cluster, seconds: float, until_running: int | None = None) -> None:
+    """Advances the clock in steps of half a second; ends early once `until_running` tasks run.
+
+    In each step a quarter of the workers sends heartbeats, so each worker sends one every 2 s.
+    """
     for step in range(int(seconds / STEP_S)):
         cluster.pass_time(STEP_S)
         for n, worker in enumerate(list(cluster.workers.values())):
@@ -54,14 +57,14 @@
 
 
 def running_count(cluster: Cluster) -> int:
-    """How many tasks run."""
+    """Returns the number of running tasks."""
     return sum(len(worker.running()) for worker in cluster.workers.values())
 
 
-def test_4000_machines_start_get_a_new_leader_and_lose_500() -> None:
+def test_start_failover_and_loss_of_500_machines_at_4000_machines() -> None:
     cluster = Cluster(nodes=3, value_kb=8.0)
-    cluster.pause_s = 0.0005  # 4,000 heartbeats wait for a read each, and their times add up here
-    cluster.cloud.capacity = 0  # no more machines than these, but replacements of deleted ones
+    cluster.pause_s = 0.0005  # each of 4,000 heartbeats waits for a read of the store; the waits add up here
+    cluster.cloud.capacity = 0  # no additional machines, only replacements of deleted ones
     for n in range(MACHINES):
         cluster.machine(zone="north" if n % 2 else "south")
     tasks = MACHINES * CPUS
@@ -69,7 +72,7 @@
         body = cluster.job(number + 1, crew="open", parts=tasks // 4, guess_s=5000.0, mem_gb=2.0)
         assert cluster.submit("n0", body) == 201
 
-    pass_scaled(cluster, 40.0, until_running=tasks)
+    run_with_many_machines(cluster, 40.0, until_running=tasks)
     assert running_count(cluster) == tasks, "every CPU is in use"
     first = cluster.leader()
     assert first is not None
@@ -77,19 +80,19 @@
 
     before = {worker.name: sorted(worker.running()) for worker in cluster.workers.values()}
     del cluster.nodes[first]
-    pass_scaled(cluster, 30.0)
+    run_with_many_machines(cluster, 30.0)
     second = cluster.leader()
     assert second not in (None, first)
     assert {worker.name: sorted(worker.running()) for worker in cluster.workers.values()} == before
     assert cluster.cloud.deleted == [], "a failover deletes no machine"
 
-    lost = list(cluster.workers.values())[:: MACHINES // LOST]
-    assert len(lost) == LOST
+    lost = list(cluster.workers.values())[:: MACHINES // LOST_MACHINES]
+    assert len(lost) == LOST_MACHINES
     for worker in lost:
         worker.hung = True
-    pass_scaled(cluster, 30.0)
+    run_with_many_machines(cluster, 30.0)
     assert set(cluster.cloud.deleted) == {worker.name for worker in lost}
-    pass_scaled(cluster, 40.0, until_running=tasks)
+    run_with_many_machines(cluster, 40.0, until_running=tasks)
     task_ids = collections.Counter(
         task_id for worker in cluster.workers.values() for task_id in worker.running()
     )
@@ -98,23 +101,23 @@
     assert len(cluster.workers) == MACHINES
 
 
-class PacedCloud:
-    """A cloud that answers 429 above its rate, with bursts worth two seconds, as its protocol says."""
+class RateLimitedCloud:
+    """A cloud with the rate limit of the protocol: 429 above its rate and a burst worth two seconds."""
 
     def __init__(self, rps: float, count: int) -> None:
         self.now = 0.0
         self.rps = rps
         self.tokens = 2.0 * rps
-        self.filled = 0.0
+        self.refilled_at = 0.0
         self.names = [f"vm-{n:06d}" for n in range(count)]
         self.calls: list[tuple[float, str]] = []
-        self.busy = 0
+        self.busy_count = 0
 
-    def _enter(self, call: str) -> None:
-        self.tokens = min(2.0 * self.rps, self.tokens + (self.now - self.filled) * self.rps)
-        self.filled = self.now
+    def _take_token(self, call: str) -> None:
+        self.tokens = min(2.0 * self.rps, self.tokens + (self.now - self.refilled_at) * self.rps)
+        self.refilled_at = self.now
         if self.tokens < 1.0:
-            self.busy += 1
+            self.busy_count += 1
             raise CloudBusyError("429")
         self.tokens -= 1.0
         self.calls.append((self.now, call))
@@ -123,20 +126,20 @@
         return []
 
     def launch(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
-        self._enter("launch")
+        self._take_token("launch")
         return [f"{request}-{n}" for n in range(count)]
 
     def delete(self, names: list[str]) -> None:
-        self._enter("delete")
+        self._take_token("delete")
 
     def machines(self, since: str) -> MachinePage:
-        self._enter("list")
+        self._take_token("list")
         after = [name for name in self.names if name > since]
         page = [Listed(name, "", "small", "north", True, "running", 9.0) for name in after[:LIST_PAGE]]
         return MachinePage(page, len(after) > LIST_PAGE)
 
 
-class UndisputedLeader:
+class AlwaysVerifiedLeader:
     """A leader that is always verified."""
 
     def is_verified_leader(self) -> bool:
@@ -146,7 +149,7 @@
         return False
 
 
-def leader_with_cloud(cloud: PacedCloud, settings: Settings) -> tuple[Scheduler, CloudOperations]:
+def leader_with_cloud(cloud: RateLimitedCloud, settings: Settings) -> tuple[Scheduler, CloudOperations]:
     scheduler = Scheduler(settings, Policy(), lambda: cloud.now, lambda: cloud.now, random.Random(1))
     scheduler.set_types([MachineType("small", 4.0, 0.0, 32.0, 0.2, 0.06, 20.0, 0.5, ("north", "south"))])
     scheduler.recover(RecoveredState(term=1, fencing_token=1, as_of=0.0))
@@ -155,14 +158,17 @@
         cloud.now += seconds
 
     operations = CloudOperations(
-        cloud, scheduler, UndisputedLeader(), cloud.rps, "r-n0", lambda: cloud.now, pause, lambda: None
+        cloud, scheduler, AlwaysVerifiedLeader(), cloud.rps, "r-n0", lambda: cloud.now, pause, lambda: None
     )
     return scheduler, operations
 
 
-def test_listing_4000_machines_keeps_to_the_rate_and_leaves_some_for_launches() -> None:
-    """All pages at once exceeded the cloud's burst, so that the list was never complete."""
-    cloud = PacedCloud(rps=3.0, count=MACHINES)
+def test_listing_4000_machines_keeps_within_the_rate_and_leaves_a_share_for_launches() -> None:
+    """Guards against requesting all pages at once.
+
+    That exceeded the cloud's burst limit, so the list was never complete.
+    """
+    cloud = RateLimitedCloud(rps=3.0, count=MACHINES)
     scheduler, operations = leader_with_cloud(cloud, Cluster().settings("n0"))
     request = LaunchRequest("small", "north", True, 50, "backlog")
     lists = 0
@@ -170,22 +176,23 @@
         wait_s = operations.list_step()
         next_list = cloud.now + wait_s
         lists += 1
-        while cloud.now < next_list:  # another thread, which launches as fast as it may
+        # In production another thread launches meanwhile, as fast as the rate allows.
+        while cloud.now < next_list:
             operations.launch(request)
             cloud.now += 0.05
-    assert cloud.busy == 0
+    assert cloud.busy_count == 0
     assert (
         len([name for name in cloud.names if scheduler.state.machine_names.find(name) is not None])
         == MACHINES
     )
-    assert lists >= 4, "the state of each machine is read every quarter of a minute"
+    assert lists >= 4, "the state of each machine is read every 15 s"
     kinds = collections.Counter(kind for _, kind in cloud.calls)
     assert kinds["list"] <= 1.1 * LIST_SHARE * LEADER_SHARE * cloud.rps * cloud.now
     assert kinds["launch"] >= 60, "the rest of the rate is for launches"
 
 
 def test_more_launches_than_the_queue_holds_do_not_delay_deletions() -> None:
-    cloud = PacedCloud(rps=3.0, count=0)
+    cloud = RateLimitedCloud(rps=3.0, count=0)
     scheduler, operations = leader_with_cloud(cloud, Cluster().settings("n0"))
     requests = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
     for request in requests:
@@ -193,7 +200,9 @@
     operations.carry_out(ScalingActions(requests, [Deletion("vm-000001", "idle")]))
     assert operations.delete(["vm-000001"])
     waiting = sum(scheduler.state.launching.values())
-    assert MACHINES <= waiting < 400 * 50, "launches that the queue did not take are decided again"
+    assert MACHINES <= waiting < 400 * 50, (
+        "launches that the full queue rejected do not stay counted and are planned again"
+    )
 
 
 def test_a_relay_recognizes_repeated_heartbeats_of_4000_machines() -> None:
@@ -201,23 +210,26 @@
     relay = cluster.nodes["n1"].relay
     heartbeats = [cluster.machine().heartbeat() for _ in range(MACHINES + 500)]
     assert not any(relay.stale(heartbeat) for heartbeat in heartbeats)
-    assert all(relay.stale(heartbeat) for heartbeat in heartbeats), "each of them was seen before"
+    assert all(relay.stale(heartbeat) for heartbeat in heartbeats), "each of them was received before"
 
 
-def test_a_relay_of_4000_machines_keeps_to_the_rate_and_passes_each_machine_on() -> None:
-    """All values at once were refused repeatedly, and the pause for so many exceeded a lease."""
+def test_a_relay_of_4000_machines_keeps_within_the_write_rate_and_forwards_each_machine() -> None:
+    """Guards against writing all relay values at once.
+
+    The store refused them repeatedly, and the pause after so many writes exceeded a lease.
+    """
     cluster = Cluster(nodes=2, value_kb=4.0, writes=15.0)
     relaying = cluster.nodes["n1"]
     cluster.store.write_rps = 15.0
     cluster.pass_time(2.0)
     fleet = [cluster.machine() for _ in range(MACHINES)]
     last_heartbeat_at: dict[str, list[float]] = {worker.name: [] for worker in fleet}
-    seen: dict[str, int] = {}
+    seen_versions: dict[str, int] = {}
     rng = random.Random(1)
     for _ in range(60):
         cluster.pass_time(0.5)
         for worker in fleet[::HEARTBEAT_STEPS]:
-            # Two different tasks each time.
+            # Two different tasks in each heartbeat.
             task_ids = [f"req-{rng.randrange(200):06d}/{rng.randrange(2000)}" for _ in range(2)]
             worker.tasks = {
                 (task_id, n): Attempt(task_id, rng.randrange(10**5), "running")
@@ -227,12 +239,12 @@
         fleet = fleet[1:] + fleet[:1]
         cluster.try_step(relaying.relay_publisher.publish)
         for key, (value, version, _) in cluster.store.rows.items():
-            if key.startswith(records.RELAYS) and seen.get(key) != version:
-                seen[key] = version
+            if key.startswith(records.RELAYS) and seen_versions.get(key) != version:
+                seen_versions[key] = version
                 for heartbeat in heartbeats_in(Row(key, value, version), cluster.clock.wall())[1]:
                     last_heartbeat_at[heartbeat.machine].append(cluster.clock.now)
     assert cluster.store.rate_limited_count == 0
-    assert len(seen) > 2 * cluster.store.write_rps, "more values than may be written in two seconds"
+    assert len(seen_versions) > 2 * cluster.store.write_rps, "more values than may be written in two seconds"
     end = cluster.clock.now
     gaps = [
         max(later - before for before, later in itertools.pairwise([*times, end]))
@@ -241,7 +253,7 @@
     assert max(gaps) <= LEASE_S
 
 
-def test_preemption_in_a_large_fleet_covers_it_and_stops_tasks_in_proportion() -> None:
+def test_preemption_covers_the_whole_of_a_large_fleet_and_stops_a_fixed_share_of_its_tasks() -> None:
     cluster = Cluster(value_kb=8.0)
     cluster.pause_s = 0.0005
     node = cluster.nodes["n0"]
@@ -273,7 +285,7 @@
 
 
 class KeepAliveWorkers:
-    """Workers that send heartbeats to a server and keep their connections where they may."""
+    """Workers that send heartbeats to a server and keep their connections unless the server closes them."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -283,8 +295,8 @@
         for sock in self.connections.values():
             sock.close()
 
-    def heartbeat(self, number: int, sequence: int) -> bool:
-        """Whether the heartbeat of this worker is answered."""
+    def send_heartbeat(self, number: int, sequence: int) -> bool:
+        """Sends a heartbeat of this worker; returns whether it is answered with status 200."""
         sock = self.connections.get(number) or socket.create_connection(("127.0.0.1", self.port), timeout=5)
         data = self._body(number, sequence)
         head = f"POST {workers.HEARTBEAT_PATH} HTTP/1.1\r\nContent-Length: {len(data)}\r\n\r\n"
@@ -300,13 +312,16 @@
             self.connections[number] = sock
         return answer.startswith(b"HTTP/1.1 200")
 
-    def answered_soon(self, number: int, sequence: int) -> bool:
-        """Whether it is answered within some tries, as workers retry: a closed connection counts until its
-        thread has ended. Not for so long that the server would close idle connections of others."""
-        for _ in range(TRIES):
-            if self.heartbeat(number, sequence):
+    def is_answered_within_tries(self, number: int, sequence: int) -> bool:
+        """Sends a heartbeat up to MAX_TRIES times; returns whether it is answered.
+
+        Workers retry as well, since a closed connection counts towards the limit until its thread has ended.
+        The tries end before the server would close idle connections of other workers.
+        """
+        for _ in range(MAX_TRIES):
+            if self.send_heartbeat(number, sequence):
                 return True
-            time.sleep(RETRY_S)
+            time.sleep(RETRY_DELAY_S)
         return False
 
     @staticmethod
@@ -328,7 +343,7 @@
 
 
 def test_more_workers_than_connections_are_all_answered_in_turn() -> None:
-    """Workers kept their connections: the last ones were refused until a lease expired."""
+    """Guards against workers that keep all connections, so that others are refused until a lease expires."""
     max_connections, clients = 8, 40
     cluster = Cluster()
     cluster.step()
@@ -337,8 +352,10 @@
     server.start()
     fleet = KeepAliveWorkers(server.port)
     for sequence in range(1, 4):
-        assert all(fleet.answered_soon(number, sequence) for number in range(clients)), (
-            "each is answered in each turn"
+        assert all(fleet.is_answered_within_tries(number, sequence) for number in range(clients)), (
+            "each worker is answered for each heartbeat"
         )
-    assert 0 < len(fleet.connections) < max_connections, "as many as allowed keep theirs"
+    assert 0 < len(fleet.connections) < max_connections, (
+        "some workers keep their connections, fewer than the limit"
+    )
     fleet.close()
--- a/tests/test_submission_validation.py
+++ b/tests/test_submission_validation.py
@@ -1,4 +1,4 @@
-"""Submissions: which are valid, and the record that keeps them."""
+"""Tests of the validation of submissions and of their stored records."""
 
 import json
 
@@ -13,14 +13,14 @@
 NULLABLE = ("builds", "yard", "due_s")
 
 
-def test_a_valid_submission_is_the_same_after_encoding_its_record() -> None:
+def test_the_record_of_a_valid_submission_is_unchanged_by_encoding_and_decoding() -> None:
     spec = jobs.parse_submission(orjson.dumps(VALID_SUBMISSION | {"builds": ["small"], "due_s": 9.5}))
     record = records.Record(spec, 5.0, 0.0, True, 2)
     assert records.decode(orjson.loads(orjson.dumps(records.encode(record)))) == record
 
 
 @pytest.mark.parametrize("stored", [{}, [1, 2], "x", {"pieces": 2, "text": "!!"}])
-def test_a_stored_value_that_is_no_record_is_unreadable(stored: object) -> None:
+def test_a_malformed_record_is_unreadable(stored: object) -> None:
     with pytest.raises(records.UnreadableError):
         records.decode(stored)
 
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b"7", b"{", b'{"id":"a","id":"b"}', b"\xff", b'{"cpus":NaN}', b"[" * 100_000]
 )
-def test_a_body_that_is_no_json_object_is_refused(body: bytes) -> None:
+def test_a_body_that_is_not_a_json_object_is_refused(body: bytes) -> None:
     with pytest.raises(jobs.InvalidError):
         jobs.parse_submission(body)
 
--- a/tests/test_task_log.py
+++ b/tests/test_task_log.py
@@ -1,4 +1,4 @@
-"""The task log: its state after applying rows one by one or all at once, and its length."""
+"""Tests of the task log: its state after applying rows one by one or all at once, and its length."""
 
 import random
 from collections.abc import Callable
@@ -14,20 +14,20 @@
 
 
 class RandomWriter:
-    """A leader that appends random changes, and the state that they should add up to."""
+    """Appends rows with random changes as a leader does, and keeps the state that they should result in."""
 
     def __init__(self, layout_bytes: int, row_bytes: int, seed: int) -> None:
         self.rng = random.Random(seed)
         self.task_log = TaskLog(layout_bytes)
         self.row_bytes = row_bytes
         self.stored: dict[str, tuple[int, Any]] = {}
-        self.truth: dict[str, dict[int, object]] = {}
-        self.over: set[str] = set()
+        self.expected_state: dict[str, dict[int, object]] = {}
+        self.ended_jobs: set[str] = set()
         self.attempt = 1
         self.version = 10
 
     def append(self, jobs: int, tasks: int) -> tuple[str, int, object]:
-        """Store a row with up to twelve random changes; its slot, version and value."""
+        """Stores a row with up to twelve random changes; returns its slot, version and value."""
         task_log, rng = self.task_log, self.rng
         builder = RowBuilder(
             task_log, task_log.next, task_log.reclaimable_tail(), self.attempt + 40, self.row_bytes
@@ -35,15 +35,17 @@
         changed: dict[str, list[int]] = {}
         for _ in range(rng.randint(1, 12)):
             self._add_random_change(builder, changed, jobs, tasks)
-        if self.truth and rng.random() < 0.02:
-            job = rng.choice(sorted(self.truth))
+        if self.expected_state and rng.random() < 0.02:
+            job = rng.choice(sorted(self.expected_state))
             if builder.has_space(job):
                 builder.add_over(job)
-                del self.truth[job]
-                self.over.add(job)
+                del self.expected_state[job]
+                self.ended_jobs.add(job)
         builder.add_snapshots({job: set(expected_tasks) for job, expected_tasks in changed.items()})
-        slot, before = task_log.next_slots(1)[0]
-        assert self.stored.get(slot, (0, None))[0] == before, "the version of the slot is known"
+        slot, slot_version = task_log.next_slots(1)[0]
+        assert self.stored.get(slot, (0, None))[0] == slot_version, (
+            "the task log has the stored version of the slot"
+        )
         self.version += 1
         value = orjson.loads(orjson.dumps(builder.build()))
         assert len(orjson.dumps(value)) <= self.row_bytes
@@ -53,13 +55,13 @@
     def _add_random_change(
         self, builder: RowBuilder, changed: dict[str, list[int]], jobs: int, tasks: int
     ) -> None:
-        """Add a placement, a completion or the end of a placement, if the row can hold it."""
+        """Adds a placement, a completion or the end of a placement, if the row has space for it."""
         rng = self.rng
         job, task = f"req-{rng.randrange(jobs)}", rng.randrange(tasks)
         machine = f"vm-{rng.randrange(99):06d}"
-        if job in self.over or not builder.has_space(job, machine):
+        if job in self.ended_jobs or not builder.has_space(job, machine):
             return
-        expected_tasks = self.truth.setdefault(job, {})
+        expected_tasks = self.expected_state.setdefault(job, {})
         if any(task in listed_tasks.get(job, ()) for listed_tasks in (builder.row.done, builder.row.closed)):
             return
         if job in builder.row.placed and task in builder.row.placed[job][::3]:
@@ -80,10 +82,11 @@
             expected_tasks.pop(task, None)
 
     def state(self, task_log: TaskLog) -> dict[str, dict[int, object]]:
-        """The tasks of each job as a task log has them, in the form of `truth`."""
+        """Returns the tasks of each job in a task log, in the form of `expected_state`."""
         return {
-            job: dict.fromkeys(p.done, "done") | {t: tuple(placement) for t, placement in p.open.items()}
-            for job, p in task_log.jobs.items()
+            job: dict.fromkeys(progress.done, "done")
+            | {task: tuple(placement) for task, placement in progress.open.items()}
+            for job, progress in task_log.jobs.items()
         }
 
 
@@ -110,20 +113,22 @@
         writer.task_log.apply_row(*row)
         delayed_rows.append(row)
         if len(delayed_rows) > 3 or n % 7 == 0:
-            writer.rng.shuffle(delayed_rows)  # rows that arrive out of order wait for those before
+            writer.rng.shuffle(delayed_rows)  # rows that arrive early are applied after those before them
             for row in delayed_rows:
                 late_reader.apply_row(*row)
             delayed_rows.clear()
         longest = max(longest, len(writer.stored))
         if n % 100 == 99:
-            # In any order, as a new leader reads them; free rows that are still stored do no harm.
+            # A new leader reads the rows in any order; free rows that are still stored have no effect.
             rows = [(slot, version, value) for slot, (version, value) in writer.stored.items()]
             writer.rng.shuffle(rows)
             rebuilt = TaskLog(layout_bytes)
             rebuilt.rebuild(rows)
-            expected = {job: expected_tasks for job, expected_tasks in writer.truth.items() if expected_tasks}
-            assert {j: t for j, t in writer.state(rebuilt).items() if t} == expected
-            assert {j: t for j, t in writer.state(writer.task_log).items() if t} == expected
+            expected = {
+                job: expected_tasks for job, expected_tasks in writer.expected_state.items() if expected_tasks
+            }
+            assert {job: tasks for job, tasks in writer.state(rebuilt).items() if tasks} == expected
+            assert {job: tasks for job, tasks in writer.state(writer.task_log).items() if tasks} == expected
             assert (rebuilt.next, rebuilt.tail, rebuilt.next_slots(3)) == (
                 writer.task_log.next,
                 writer.task_log.tail,
@@ -140,7 +145,7 @@
     assert longest <= 20 * kept_rows
 
 
-def test_a_missing_or_foreign_row_is_an_error() -> None:
+def test_a_missing_or_malformed_row_is_an_error() -> None:
     writer = RandomWriter(4096, 4096, 1)
     for _ in range(40):
         writer.task_log.apply_row(*writer.append(3, 30))
@@ -172,8 +177,10 @@
 
 
 def test_a_block_that_fits_into_no_row_does_not_stop_the_tail() -> None:
-    """With a layout for 8 KiB and rows of 1 KiB, a block of 66 tasks on as many machines fits into none. If
-    the tail stops, the log grows without bound."""
+    """With a layout for 8 KiB and rows of 1 KiB, a block of 66 tasks on 66 machines fits into no row.
+
+    If that stopped the tail, the log would grow without bound.
+    """
     task_log = TaskLog(8192)
     stored: dict[str, object] = {}
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,7 @@
-"""Two versions side by side: what they share in the state service, limits that fall, and who takes over."""
+"""Tests of clusters with two releases: shared formats, lowered limits of the store, and failover.
+
+The formats are those of the production release, both in the key-value store and in messages.
+"""
 
 import json
 from pathlib import Path
@@ -17,7 +20,7 @@
 from bayford.storage import load_summary, records, row_builder, task_log
 from bayford.storage.key_value_store import Put, Row, TooLargeError
 
-# Each form as the version in production writes it, made once by that version.
+# A sample of each format, written once by the release in production.
 GOLDEN = json.loads((Path(__file__).parent / "fixtures" / "production.json").read_text())
 NEXT_LIMITS = "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0"
 
@@ -30,13 +33,19 @@
 
 def progress_of(log: task_log.TaskLog) -> dict[str, Any]:
     return {
-        job: {"open": {str(t): list(p) for t, p in sorted(g.open.items())}, "done": sorted(g.done)}
-        for job, g in sorted(log.jobs.items())
+        job: {
+            "open": {str(task): list(placement) for task, placement in sorted(progress.open.items())},
+            "done": sorted(progress.done),
+        }
+        for job, progress in sorted(log.jobs.items())
     }
 
 
 def shape(value: object) -> Any:
-    """The form of a value without its contents: what a reader that takes no unknown fields compares."""
+    """Returns the keys and types of a value without its contents.
+
+    These must match for a reader that rejects unknown fields.
+    """
     if isinstance(value, dict):
         return {k: shape(v) for k, v in value.items()}
     return [type(v).__name__ for v in value] if isinstance(value, list) else type(value).__name__
@@ -45,16 +54,16 @@
 # -- formats ---------------------------------------------------------------------------------------------
 
 
-def test_records_of_production_are_read_and_written_back_as_they_were() -> None:
+def test_production_records_are_decoded_and_encoded_again_unchanged() -> None:
     for value in GOLDEN["records"]:
         record = records.decode(value)
-        assert records.encode(record) == value, "an old reader takes no other fields, and no fewer"
+        assert records.encode(record) == value, "an older release requires exactly these fields"
         assert records.fitted(record, 2048) == value
     array, daemon = (records.decode(value) for value in GOLDEN["records"][:2])
     assert not array.over and daemon.spec.shape == "service" and daemon.spec.tasks == 6
 
 
-def test_rows_of_production_add_up_and_a_short_row_after_them_has_their_form() -> None:
+def test_production_rows_rebuild_their_state_and_shorter_rows_keep_their_format() -> None:
     log = golden_task_log()
     assert progress_of(log) == GOLDEN["state"]
     assert [
@@ -63,15 +72,15 @@
         log.next_attempt,
         [list(s) for s in log.next_slots(3)],
     ] == GOLDEN["next"]
-    known = {key for _, _, row in GOLDEN["rows"] for key in row} | {"x", "c"}
+    known_fields = {key for _, _, row in GOLDEN["rows"] for key in row} | {"x", "c"}
     rows = [tuple(row) for row in GOLDEN["rows"]]
     version = 1000
     for _ in range(120):
-        maker = row_builder.RowBuilder(log, log.next, log.reclaimable_tail(), log.next_attempt, 2048)
-        maker.add_snapshots()
+        builder = row_builder.RowBuilder(log, log.next, log.reclaimable_tail(), log.next_attempt, 2048)
+        builder.add_snapshots()
         slot, _ = log.next_slots(1)[0]
-        value = orjson.loads(orjson.dumps(maker.build()))
-        assert set(value) <= known, "an old reader takes no unknown field"
+        value = orjson.loads(orjson.dumps(builder.build()))
+        assert set(value) <= known_fields, "an older release rejects unknown fields"
         assert len(orjson.dumps(value)) <= 2048
         version += 1
         log.apply_row(slot, version, value)
@@ -83,7 +92,7 @@
     assert max(len(orjson.dumps(value)) for _, _, value in rows if value["n"] >= fresh.tail) <= 2048
 
 
-def test_relay_values_summaries_status_and_responses_of_production_are_read_and_still_written_so() -> None:
+def test_production_relay_values_summaries_status_and_responses_are_decoded_and_encoded_unchanged() -> None:
     name, heartbeats = heartbeats_in(Row("b/relay/n2/0", GOLDEN["relay"], 5), GOLDEN["relay"]["at"])
     assert name == "n2" and [msgspec.to_builtins(r) for r in heartbeats] == [GOLDEN["report"]]
     assert mesh.pack_heartbeats(heartbeats, 2000) == [GOLDEN["relay"]["reports"]]
@@ -108,7 +117,7 @@
     assert orjson.loads(workers.redirect("n2")) == GOLDEN["redirect"]
 
 
-def test_the_leadership_record_and_the_members_keep_the_form_that_an_old_controller_compares() -> None:
+def test_the_leadership_record_and_member_records_keep_the_production_format() -> None:
     cluster = started_cluster(nodes=2)
     assert shape(cluster.store.rows["b/map"][0]).keys() == shape(GOLDEN["map"]).keys()
     for name in cluster.nodes:
@@ -117,21 +126,21 @@
         )
 
 
-def test_a_leadership_record_with_many_teams_is_cut_to_what_every_version_reads() -> None:
+def test_a_leadership_record_with_many_teams_is_cut_to_the_fields_that_every_release_reads() -> None:
     cluster = started_cluster(nodes=2)
     node = cluster.nodes["n0"]
     node.membership._teams = [f"team-{n:03d}-of-a-long-name" for n in range(200)]
     node.limits.value_bytes = cluster.store.value_bytes = 1024
     assert node.membership.acquire_leadership("n0")
     value = cluster.store.rows["b/map"][0]
-    leader = next(iter(value["owners"].values()))  # as production reads it
+    leader = next(iter(value["owners"].values()))  # as the production release reads it
     assert leader == "n0" and value["members"][leader] == node.incarnation
     cluster.step()
     assert cluster.leader() == "n0"
 
 
-def load(cluster: Cluster, tasks: int) -> None:
-    """Four machines, an array of small tasks and a service beside it."""
+def submit_load(cluster: Cluster, tasks: int) -> None:
+    """Adds four machines and submits an array of small tasks and a service."""
     for _ in range(4):
         cluster.machine()
     cluster.submit("n0", cluster.job(1, parts=tasks, crew="blue", cpus=0.25))
@@ -141,10 +150,10 @@
 # -- limits ----------------------------------------------------------------------------------------------
 
 
-def test_the_smaller_of_both_limits_is_kept_to_and_each_may_be_absent_or_larger() -> None:
+def test_the_smaller_of_the_current_and_the_upcoming_limit_applies_and_each_is_optional() -> None:
     state = started_cluster().settings("n0").facts.state
-    coming = msgspec.convert({"value_kb": 2.0, "txn_ops": 40}, type(state).__annotations__["next"])
-    limits = StoreLimits(msgspec.structs.replace(state, next=coming))
+    upcoming = msgspec.convert({"value_kb": 2.0, "txn_ops": 40}, type(state).__annotations__["next"])
+    limits = StoreLimits(msgspec.structs.replace(state, next=upcoming))
     assert (limits.value_bytes, limits.txn_ops, limits.write_rps, limits.layout_bytes) == (
         2048,
         12,
@@ -153,13 +162,16 @@
     )
 
 
-@pytest.mark.parametrize("known", [True, False])
-def test_limits_that_fall_under_full_load_stop_nothing(known: bool) -> None:
-    """Unless it is known beforehand, what is refused for its size must not be tried for ever as it is."""
+@pytest.mark.parametrize("is_announced", [True, False])
+def test_limits_lowered_under_full_load_stop_no_work(is_announced: bool) -> None:
+    """A write that is refused for its size must not be retried unchanged for ever.
+
+    With a limit that was announced beforehand, no write is refused.
+    """
     cluster = started_cluster(
-        machines=0, value_kb=1.5, next_limits="value_kb = 0.5\ntxn_ops = 4" if known else ""
+        machines=0, value_kb=1.5, next_limits="value_kb = 0.5\ntxn_ops = 4" if is_announced else ""
     )
-    load(cluster, 200)
+    submit_load(cluster, 200)
     for _ in range(4):
         cluster.step()
     cluster.store.value_bytes, cluster.store.txn_ops = 512, 4
@@ -169,7 +181,7 @@
                 cluster.finish(task_id)
         cluster.step()
     assert cluster.query("n0", "req-000001") == "done"
-    assert [p for p in running_tasks(cluster) if p.startswith("req-000002")] == [
+    assert [task_id for task_id in running_tasks(cluster) if task_id.startswith("req-000002")] == [
         "req-000002/0",
         "req-000002/1",
     ]
@@ -177,11 +189,11 @@
     for _ in range(4):
         cluster.step()
     assert running_tasks(cluster) == []
-    assert (cluster.store.too_large_count == 0) is known
+    assert (cluster.store.too_large_count == 0) is is_announced
     assert cluster.store.too_large_count < 12
 
 
-def test_a_record_accepted_under_the_old_limit_is_rewritten_in_what_fits() -> None:
+def test_a_record_accepted_under_the_old_limit_is_rewritten_within_the_new_one() -> None:
     long = "x" * 190
     cluster = started_cluster(machines=2, value_kb=2.0)
     cluster.submit("n0", cluster.job(1, lane=long, bundle=long, cpus=4.0))
@@ -189,7 +201,7 @@
     for _ in range(3):
         cluster.step()
     cluster.store.value_bytes = 400
-    assert cluster.cancel("n0", "req-000002") is None, "refused as it stands"
+    assert cluster.cancel("n0", "req-000002") is None, "refused, since the record in full exceeds the limit"
     cluster.nodes["n0"].limits.value_bytes = 400
     assert cluster.cancel("n0", "req-000002") == "aborted"
     for task_id in running_tasks(cluster):
@@ -199,14 +211,14 @@
         for task_id in running_tasks(cluster):
             cluster.finish(task_id)
     assert cluster.query("n0", "req-000001") == "done"
-    cluster.boot("n0")  # and what is left of it is still read
+    cluster.boot("n0")  # the records in their shorter form can still be read
     for _ in range(12):
         cluster.step()
     assert cluster.query("n0", "req-000001") == "done"
     assert cluster.query("n0", "req-000002") == "aborted"
 
 
-def test_a_submission_that_does_not_fit_the_limit_to_come_is_refused_for_good() -> None:
+def test_a_submission_above_the_upcoming_limit_is_rejected() -> None:
     cluster = started_cluster(next_limits="value_kb = 0.5")
     status, body, _ = cluster.nodes["n0"].submit(cluster.job(1, lane="x" * 200, bundle="é" * 200))
     assert status == 400 and b"bytes" in body
@@ -214,7 +226,7 @@
     assert cluster.submit("n0", cluster.job(2)) == 201
 
 
-def test_a_relay_row_that_is_refused_does_not_keep_the_others_from_being_written(cluster: Cluster) -> None:
+def test_a_refused_relay_row_does_not_prevent_the_write_of_others(cluster: Cluster) -> None:
     node = cluster.nodes["n0"]
     cluster.store.txn_ops, cluster.store.value_bytes = 2, 300
     write_each(
@@ -232,9 +244,11 @@
     ]
 
 
-def test_a_summary_is_written_value_by_value_and_a_refusal_costs_one() -> None:
-    """All values at once, tried again and again on credit, took the whole rate: nothing was committed for 66
-    s."""
+def test_a_summary_is_written_one_value_at_a_time_and_a_refusal_costs_one_write() -> None:
+    """Guards against summary writes that use up the write rate.
+
+    Writing all values at once, and retrying them on credit, left no writes for commits for 66 s.
+    """
     cluster = started_cluster(machines=40, value_kb=0.5, writes=15.0)
     node = cluster.nodes["n0"]
     for worker in cluster.workers.values():
@@ -250,11 +264,13 @@
     assert len([k for k in cluster.store.rows if k.startswith(records.SUMMARIES)]) <= rows + 1
 
 
-def test_the_layout_outlives_settings_with_a_new_limit() -> None:
-    """The number of a block follows from the size of a value once and for all; read with another, the
-    snapshots of tasks that run would name other tasks."""
+def test_the_stored_layout_remains_when_the_settings_have_a_new_limit() -> None:
+    """The stored layout fixes the value size from which the block numbers of the task log follow.
+
+    Read with another size, the snapshots of running tasks would refer to other tasks.
+    """
     cluster = started_cluster(machines=0, value_kb=1.5)
-    load(cluster, 90)  # so many that the log is long enough for snapshots
+    submit_load(cluster, 90)  # enough tasks for a task log with snapshots
     for _ in range(60):
         cluster.step()
         for task_id in running_tasks(cluster):
@@ -274,7 +290,7 @@
     assert cluster.query("n0", "req-000001") == "done"
 
 
-def test_a_layout_that_cannot_be_read_is_no_reason_to_guess() -> None:
+def test_no_controller_leads_or_answers_queries_while_the_layout_is_unreadable() -> None:
     cluster = started_cluster(nodes=2)
     cluster.submit("n0", cluster.job(1))
     cluster.store._change([Put(records.LAYOUT, "oops")])
@@ -287,11 +303,11 @@
     }
 
 
-# -- who takes over --------------------------------------------------------------------------------------
+# -- failover between releases ---------------------------------------------------------------------------
 
 
 def cluster_of_old_release(machines: int = 2) -> Cluster:
-    """Three old controllers, an old leader, and work that runs."""
+    """Returns a cluster of three controllers of the old release, with a leader and running tasks."""
     cluster = Cluster(3, next_limits=NEXT_LIMITS, old_release=["n0", "n1", "n2"])
     for _ in range(machines):
         cluster.machine()
@@ -303,7 +319,7 @@
 
 
 def upgrade(cluster: Cluster, name: str) -> None:
-    """It is killed and comes back with the new version, a while later."""
+    """Kills a controller and restarts it with the new release eight steps later."""
     del cluster.nodes[name]
     for _ in range(8):
         cluster.step()
@@ -311,14 +327,16 @@
     cluster.boot(name)
 
 
-def test_the_first_new_controller_takes_over_from_an_old_leader_and_it_is_the_only_failover() -> None:
+def test_the_first_upgraded_controller_takes_over_from_an_old_leader_in_the_only_failover() -> None:
     cluster = cluster_of_old_release()
     fencing_token = cluster.nodes["n0"].membership.record.fencing_token
     for name in ("n2", "n1", "n0"):
         upgrade(cluster, name)
         for _ in range(20):
             cluster.step()
-        assert cluster.leader() == "n2", "not handed to one that is still to go, nor back"
+        assert cluster.leader() == "n2", (
+            "leadership passes neither to a controller that is still to be upgraded nor back"
+        )
         assert len(running_tasks(cluster)) == 3
     assert cluster.nodes["n2"].membership.record.fencing_token == fencing_token + 1
     assert not cluster.nodes["n0"].peers.older() and not cluster.nodes["n2"].peers.older()
@@ -328,7 +346,7 @@
     cluster = cluster_of_old_release()
     upgrade(cluster, "n2")
     for _ in range(3):
-        cluster.step()  # it has got the status of all
+        cluster.step()  # n2 receives the status of all peers
     cluster.mesh_cuts.add("n1")
     for _ in range(20):
         cluster.step()
@@ -339,30 +357,30 @@
     assert cluster.leader() == "n2"
 
 
-def test_a_new_controller_comes_before_an_old_one_when_the_leader_is_gone() -> None:
+def test_an_upgraded_controller_takes_over_before_an_old_one_when_the_leader_fails() -> None:
     cluster = cluster_of_old_release()
     upgrade(cluster, "n1")
-    cluster.mesh_cuts.add("n2")  # so that it does not take over while the leader lives
+    cluster.mesh_cuts.add("n2")  # keeps n1 from taking over while the leader is alive
     cluster.step()
     new, old = cluster.nodes["n1"].membership, cluster.nodes["n2"].membership
     assert new.failover_delay_s() < old.failover_delay_s() and new.failover_delay_s() == 0.0
-    cluster.old_release.discard("n0")  # as if n0 were new, too
+    cluster.old_release.discard("n0")  # as if n0 were upgraded as well
     cluster.nodes["n1"].peers.releases["n0"] = mesh.RELEASE
     assert new.failover_delay_s() > 0.0
 
 
-def test_a_controller_that_comes_back_old_within_an_instant_takes_nothing_and_loses_nothing() -> None:
+def test_an_old_controller_that_restarts_does_not_take_over_and_a_downgrade_loses_no_work() -> None:
     cluster = cluster_of_old_release()
     upgrade(cluster, "n2")
     for _ in range(20):
         cluster.step()
     assert cluster.leader() == "n2"
-    cluster.boot("n0")  # old, since its turn has not come
+    cluster.boot("n0")  # still the old release: it has not been upgraded yet
     cluster.boot("n0")
     for _ in range(10):
         cluster.step()
     assert cluster.leader() == "n2" and len(running_tasks(cluster)) == 3
-    # An old leader of what a new one wrote, and a new one of what an old one wrote.
+    # An old leader reads what a new one has written, and later a new leader what an old one has written.
     del cluster.nodes["n2"], cluster.nodes["n1"]
     for _ in range(12):
         cluster.step()
@@ -387,11 +405,14 @@
     cluster.store.value_bytes = 10
     with pytest.raises(TooLargeError):
         cluster.nodes["n0"].commit_loop.store.compare_and_swap({}, [Put("b/x", "y" * 20)])
-    assert cluster.nodes["n0"].limits.value_bytes == 8192, "only a commit of the leader changes it"
+    assert cluster.nodes["n0"].limits.value_bytes == 8192, "only a commit of the leader changes the limit"
 
 
-def test_an_old_leader_is_not_notified_of_cancellations_and_stops_their_tasks_all_the_same() -> None:
-    """Release 1 knows no such notice and answers 404, which counts as notified: its own watch shows it."""
+def test_an_old_leader_without_cancellation_notices_still_stops_cancelled_tasks() -> None:
+    """Release 1 has no such notice and answers 404, which counts as delivered.
+
+    It learns of the cancellation from its own watch.
+    """
     cluster = cluster_of_old_release()
     upgrade(cluster, "n2")
     assert cluster.leader() in cluster.old_release and "n2" not in cluster.old_release
@@ -404,7 +425,9 @@
     cluster.nodes["n2"].notices.notify = dict.fromkeys(cluster.old_release, notify)
     assert cluster.cancel("n2", "req-000001") == "aborted"
     assert cluster.nodes["n2"].notices.send() and cluster.nodes["n2"].notices.send()
-    assert [list(cancelled) for cancelled in notified] == [["req-000001"]], "once, and not again and again"
+    assert [list(cancelled) for cancelled in notified] == [["req-000001"]], (
+        "the notice must be sent only once"
+    )
     for _ in range(4):
         cluster.step()
     assert not running_tasks(cluster)
--- a/tests/test_zone_health.py
+++ b/tests/test_zone_health.py
@@ -1,4 +1,4 @@
-"""The state machine of a zone's health: up, suspect, lost, returning."""
+"""Unit tests of the state machine of a zone's health: up, suspect, lost, returning."""
 
 import pytest
 
@@ -23,7 +23,7 @@
     leader: LeadershipFacts = VERIFIED_LEADER,
     others: ZoneFacts = ALL_HEARD,
 ) -> list[ZoneStatus]:
-    """The status of the zone SOUTH after each observation of it."""
+    """Returns the status of the zone SOUTH after each observation of it."""
     status = ZoneStatus()
     statuses = []
     for now, facts in observations:
@@ -58,16 +58,16 @@
     ("leader", "others"),
     [
         (LeadershipFacts(False, True, 100.0), ALL_HEARD),  # not a verified leader
-        (LeadershipFacts(True, False, 100.0), ALL_HEARD),  # the state service is out
-        (
-            LeadershipFacts(True, True, 3.0),
-            ALL_HEARD,
-        ),  # too short a time since its start or since it stood still
-        (VERIFIED_LEADER, NONE_HEARD),  # no heartbeat of any zone: the leader itself is cut off
-        (VERIFIED_LEADER, ZoneFacts(0, 0, 0)),  # a site of one zone
+        (LeadershipFacts(True, False, 100.0), ALL_HEARD),  # the state service does not answer
+        # has received heartbeats for less than a lease since its start or a pause
+        (LeadershipFacts(True, True, 3.0), ALL_HEARD),
+        (VERIFIED_LEADER, NONE_HEARD),  # no heartbeats from any zone: the leader may be cut off
+        (VERIFIED_LEADER, ZoneFacts(0, 0, 0)),  # no other zone has machines, as at a site of one zone
     ],
 )
-def test_a_leader_that_cannot_know_declares_no_zone_lost(leader: LeadershipFacts, others: ZoneFacts) -> None:
+def test_a_leader_that_cannot_judge_a_zone_does_not_declare_it_lost(
+    leader: LeadershipFacts, others: ZoneFacts
+) -> None:
     assert {
         status.state
         for status in statuses_over_time([(t, NONE_HEARD) for t in (0.0, 10.0, 30.0, 300.0)], leader, others)
@@ -75,13 +75,13 @@
 
 
 @pytest.mark.parametrize("facts", [ZoneFacts(8, 3, 3), ZoneFacts(2, 0, 0)])
-def test_single_lost_machines_are_not_a_lost_zone(facts: ZoneFacts) -> None:
+def test_a_zone_with_few_unresponsive_machines_is_not_declared_lost(facts: ZoneFacts) -> None:
     assert {status.state for status in statuses_over_time([(t, facts) for t in (0.0, 30.0, 300.0)])} == {
         ZoneState.UP
     }
 
 
-def test_a_zone_that_flaps_takes_longer_to_be_up_each_time() -> None:
+def test_each_flap_of_a_zone_lengthens_the_time_until_it_is_up() -> None:
     observations = [
         (0.0, ALL_HEARD),
         (5.0, NONE_HEARD),
@@ -104,7 +104,7 @@
     assert TIMES.settle_s(2) == 2 * TIMES.settle_s(1) == 4 * TIMES.lease_s
 
 
-def test_two_zones_may_be_lost_one_after_the_other_but_not_all() -> None:
+def test_several_zones_may_be_lost_but_not_all() -> None:
     zones = {NORTH: ALL_HEARD, SOUTH: NONE_HEARD, WEST: ALL_HEARD}
     assert find_unknown_reason(VERIFIED_LEADER, zones, SOUTH, TIMES) == ""
     zones[WEST] = NONE_HEARD
@@ -117,7 +117,7 @@
     assert "fault may be here" in find_unknown_reason(VERIFIED_LEADER, zones, WEST, TIMES)
 
 
-def test_a_zone_without_machines_is_retried_after_a_while() -> None:
+def test_a_lost_zone_without_machines_is_retried_after_a_lease() -> None:
     status = ZoneStatus(ZoneState.LOST, since=0.0, suspected=-14.0, lost=0.0)
     no_machines = ZoneFacts(0, 0, 0)
     assert advance(status, no_machines, "", 11.0, TIMES).state is ZoneState.LOST
--- a/tests/test_zone_records.py
+++ b/tests/test_zone_records.py
@@ -1,4 +1,4 @@
-"""Zone recovery: return order, task outcomes, stored records, what operators read, and settings."""
+"""Tests of zone recovery: return order, task outcomes, stored records, operator reports and settings."""
 
 import json
 from pathlib import Path
@@ -22,7 +22,7 @@
 from bayford.storage.key_value_store import Put
 
 
-def test_named_classes_return_first_and_others_by_priority() -> None:
+def test_configured_classes_return_first_and_others_by_priority() -> None:
     cluster = Cluster(policy=RECOVERY_POLICY)
     for number, lane, rank in (
         (1, "trickle", "idle"),
@@ -39,7 +39,7 @@
     assert [job.spec.job_class for job in jobs] == ["hot", "sweep", "extra", "trickle"]
     machine_without_image = Machine(1, "vm", images={99: False})
     assert not return_order.fetch_allowed(jobs[0], machine_without_image), (
-        "one fetch at a time on a cold link"
+        "a machine fetches only one image at a time"
     )
     machine_without_image.images[99] = True
     assert return_order.fetch_allowed(jobs[0], machine_without_image)
@@ -101,11 +101,11 @@
 
 
 def put_zone_record(zone: str, value: object) -> Put:
-    """A change that stores `value` as the record of a zone."""
+    """Returns a write that stores `value` as the record of a zone."""
     return Put(zone_record.key(zone), value)
 
 
-def test_the_report_of_zones_names_each_loss_and_its_task_outcomes() -> None:
+def test_the_zone_report_lists_each_loss_and_its_task_outcomes() -> None:
     loss = zone_record.Loss(
         10.0,
         24.0,
@@ -135,7 +135,7 @@
     assert zone_report.as_text([]) == "no zone was ever lost"
 
 
-def test_the_zones_command_says_when_the_state_service_is_out(
+def test_the_zones_command_reports_that_the_state_service_does_not_answer(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "settings.toml"
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -1,4 +1,4 @@
-"""Loss and return of a zone in the simulated cluster."""
+"""Tests of the loss and the return of a zone in the simulated cluster."""
 
 import pytest
 from cluster_helpers import leader_of
@@ -37,7 +37,9 @@
     run_for(cluster, 14.0)
     assert zone_state(cluster) == "lost"
     assert stored_zone_record(cluster).losses[-1].totals()["open"] == len(lost_tasks)
-    assert leader_of(cluster).scheduler.state.jobs["req-000002"].waiting == [0], "nothing is placed there"
+    assert leader_of(cluster).scheduler.state.jobs["req-000002"].waiting == [0], (
+        "no task is placed in the lost zone"
+    )
     reconnect_zones(cluster)
     run_for(cluster, 50.0)
     assert zone_state(cluster) == "up"
@@ -87,9 +89,9 @@
         if machine.zone not in scheduler.state.returning_zones
     ]
     present = [
-        scaling.PooledMachine(scaling.MachinePool(m.type, m.zone, m.spot), m)
-        for m in machines_elsewhere
-        if m.type is not None and m.zone is not None
+        scaling.PooledMachine(scaling.MachinePool(machine.type, machine.zone, machine.spot), machine)
+        for machine in machines_elsewhere
+        if machine.type is not None and machine.zone is not None
     ]
     south, north = (scaling.MachinePool(0, zone_index(scheduler, name), True) for name in ("south", "north"))
     plans = [scaling.LaunchPlan(south, 20, "backlog"), scaling.LaunchPlan(north, 20, "backlog")]
@@ -135,7 +137,7 @@
     cut_zone_off(cluster)
     run_for(cluster, 22.0)
     assert cluster.cancel("n0", "req-000001") == "aborted"
-    run_for(cluster, 30.0)  # the machines' epochs have ended, the silent ones are deleted
+    run_for(cluster, 30.0)  # the epochs of the machines end, and unresponsive machines are deleted
     reconnect_zones(cluster)
     run_for(cluster, 60.0)
     assert running_tasks(cluster) == []
@@ -143,8 +145,13 @@
 
 
 @pytest.mark.parametrize("when", ["before", "during", "after"])
-def test_a_task_that_ends_on_a_machine_that_was_declared_lost(cluster: Cluster, when: str) -> None:
-    """Its heartbeat arrives before the task is requeued, while it waits, or after another attempt's end."""
+def test_the_late_completion_of_a_task_in_a_lost_zone_causes_no_duplicate(
+    cluster: Cluster, when: str
+) -> None:
+    """The heartbeat with the completion arrives late.
+
+    `when`: before the task is requeued, during its wait, or after the end of another attempt.
+    """
     lost_tasks = fill_with_one_job(cluster)
     task_id = lost_tasks[0]
     worker = next(worker for worker in cluster.workers.values() if task_id in worker.running())
@@ -156,7 +163,7 @@
     run_for(cluster, {"before": 4.0, "during": 34.0, "after": 34.0}[when])
     if when == "after":
         reconnect_zones(cluster)
-        for _ in range(4):  # capacity for what was lost
+        for _ in range(4):  # capacity for the lost tasks
             cluster.machine(zone="north")
         run_for(cluster, 30.0)
         cluster.finish(task_id)
@@ -168,7 +175,7 @@
     leader = leader_of(cluster).scheduler
     if when == "during":
         assert worker.name in cluster.cloud.deleted, (
-            "its machine is deleted by then, and its heartbeat has no effect"
+            "the machine has been deleted, so its heartbeat has no effect"
         )
     job = leader.state.jobs["req-000001"]
     task = int(task_id.split("/")[1])
@@ -192,7 +199,7 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
 
 
-def test_a_failover_while_a_zone_returns(cluster: Cluster) -> None:
+def test_a_new_leader_completes_the_recovery_of_a_returning_zone(cluster: Cluster) -> None:
     lost_tasks = fill_with_one_job(cluster)
     cut_zone_off(cluster)
     run_for(cluster, 22.0)
@@ -212,8 +219,8 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
-def test_tasks_that_ended_between_two_leaders_are_counted_as_over(cluster: Cluster) -> None:
-    """They were counted as cancelled, since their job was gone."""
+def test_tasks_that_ended_between_two_leaders_are_not_counted_as_cancelled(cluster: Cluster) -> None:
+    """Guards against counting them as cancelled because their job no longer exists."""
     cluster.submit("n0", cluster.job(1, crew="open", parts=4, yard="south", guess_s=900.0))
     cluster.submit("n0", cluster.job(2, crew="open", parts=2, yard="south", guess_s=900.0))
     run_for(cluster, 5.0)
@@ -223,16 +230,16 @@
     run_for(cluster, 22.0)
     leader = cluster.require_leader()
     scheduler = cluster.nodes[leader].scheduler
-    record_then = cluster.store.rows[zone_record.key("south")]
+    earlier_record = cluster.store.rows[zone_record.key("south")]
     reconnect_zones(cluster)
-    run_for(cluster, 24.0)  # all tasks run again; two end, and one job with them
+    run_for(cluster, 24.0)  # all tasks run again; the two of the second job end, and so does the job
     for task_id in running_in_zone(cluster):
         if task_id.startswith("req-000002"):
             cluster.finish(task_id)
     run_for(cluster, 4.0)
     assert cluster.query("n0", "req-000002") == "done"
     assert scheduler.leader
-    cluster.store.rows[zone_record.key("south")] = record_then  # the last record that was written before
+    cluster.store.rows[zone_record.key("south")] = earlier_record  # as if it were the last record written
     cluster.boot(leader)
     run_for(cluster, 8.0)
     totals = stored_zone_record(cluster).losses[-1].totals()
@@ -269,15 +276,17 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster)))
 
 
-@pytest.mark.parametrize("back_first", [True, False])
-def test_the_store_is_down_as_the_zone_returns(cluster: Cluster, back_first: bool) -> None:
+@pytest.mark.parametrize("reconnects_during_outage", [True, False])
+def test_a_zone_recovers_from_a_partition_that_ends_with_or_during_a_store_outage(
+    cluster: Cluster, reconnects_during_outage: bool
+) -> None:
     fill_with_one_job(cluster)
     cut_zone_off(cluster)
     run_for(cluster, 22.0)
     assert zone_state(cluster) == "lost"
     cluster.store.down = True
     run_for(cluster, 4.0)
-    if back_first:
+    if reconnects_during_outage:
         reconnect_zones(cluster)
         run_for(cluster, 6.0)
     cluster.store.down = False
@@ -287,16 +296,18 @@
     assert len(running_tasks(cluster)) == len(set(running_tasks(cluster))) == 4 * len(cluster.workers)
 
 
-def test_a_heartbeat_of_a_deleted_machine_does_not_bring_it_back(cluster: Cluster) -> None:
+def test_a_late_heartbeat_does_not_register_a_deleted_machine_again(cluster: Cluster) -> None:
     fill_with_one_job(cluster)
     deleted_worker = next(worker for worker in cluster.workers.values() if worker.zone == "south")
     late_heartbeat = deleted_worker.heartbeat()
     cut_zone_off(cluster)
     run_for(cluster, 40.0)
     assert deleted_worker.name in cluster.cloud.deleted
-    before = leader_of(cluster).scheduler.state.machines.keys()
+    known_machines = leader_of(cluster).scheduler.state.machines.keys()
     cluster.replay(late_heartbeat, cluster.require_leader())
-    assert deleted_worker.name not in {leader_of(cluster).scheduler.state.machine_names[i] for i in before}
+    assert deleted_worker.name not in {
+        leader_of(cluster).scheduler.state.machine_names[i] for i in known_machines
+    }
 
 
 def test_services_bound_to_the_zone_and_gangs_partly_inside_it_resume(cluster: Cluster) -> None:
@@ -321,7 +332,7 @@
     assert set(running_in_zone(cluster)) >= {"req-000001/0", "req-000001/1"}
 
 
-def test_work_returns_in_the_configured_order_and_none_starves(cluster: Cluster) -> None:
+def test_jobs_return_in_the_configured_order_and_none_starves(cluster: Cluster) -> None:
     fill_with_one_job(cluster)
     cut_zone_off(cluster)
     run_for(cluster, 36.0)  # until its machines are deleted
@@ -339,7 +350,7 @@
         cluster.machine(zone="south")
     run_for(cluster, 16.0)
     assert {task_id[:10] for task_id in running_in_zone(cluster)} == {"req-000004", "req-000003"}, (
-        "hot, then sweep"
+        "the class hot returns first, then sweep"
     )
     jobs = leader_of(cluster).scheduler.state.jobs
     hot, sweep = (
@@ -351,5 +362,5 @@
             cluster.finish(task_id)
     run_for(cluster, 20.0)
     assert {task_id[:10] for task_id in running_in_zone(cluster)} == {"req-000003", "req-000002"}, (
-        "none starves"
+        "the last job does not starve"
     )
--- a/tests/test_zone_recovery_random.py
+++ b/tests/test_zone_recovery_random.py
@@ -1,4 +1,4 @@
-"""Loss and return of zones under faults drawn at random; the rules are checked at each step."""
+"""Loss and return of zones under random faults; the invariants are checked after each step."""
 
 import random
 
@@ -16,12 +16,12 @@
 
 
 class ZonesUnderFaults(RuleBasedStateMachine):
-    """Random partitions, returns, late heartbeats, cancellations and failovers."""
+    """Random partitions, reconnections, late heartbeats, cancellations and failovers."""
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
         self.cluster = recovery_cluster(machines=6, seed=seed)
-        self.copies: list[Heartbeat] = []
+        self.copied_heartbeats: list[Heartbeat] = []
         self.number = 0
         self.rng = random.Random(seed)
 
@@ -36,7 +36,7 @@
         self.cluster.submit(self.rng.choice(sorted(self.cluster.nodes)), job)
 
     @rule(zone=st.sampled_from(["south", "north"]))
-    def cut_off(self, zone: str) -> None:
+    def cut_off_zone(self, zone: str) -> None:
         cut_zone_off(self.cluster, zone)
 
     @rule()
@@ -45,13 +45,13 @@
 
     @rule()
     def copy_heartbeats(self) -> None:
-        self.copies += [worker.heartbeat() for worker in self.cluster.workers.values()]
+        self.copied_heartbeats += [worker.heartbeat() for worker in self.cluster.workers.values()]
 
-    @precondition(lambda self: self.copies)
+    @precondition(lambda self: self.copied_heartbeats)
     @rule()
-    def late_copies(self) -> None:
-        for copy in self.copies[-6:]:
-            self.cluster.replay(copy, self.rng.choice(sorted(self.cluster.nodes)))
+    def replay_copied_heartbeats(self) -> None:
+        for heartbeat in self.copied_heartbeats[-6:]:
+            self.cluster.replay(heartbeat, self.rng.choice(sorted(self.cluster.nodes)))
 
     @precondition(lambda self: self.cluster.accepted)
     @rule()
@@ -59,7 +59,7 @@
         self.cluster.cancel("n0", self.rng.choice(sorted(self.cluster.accepted)))
 
     @rule()
-    def finish_some(self) -> None:
+    def finish_some_tasks(self) -> None:
         for task_id in running_tasks(self.cluster)[::3]:
             self.cluster.finish(task_id)
 
@@ -69,11 +69,11 @@
         self.cluster.boot(self.cluster.require_leader())
 
     @rule(seconds=st.sampled_from([1.0, 4.0, 14.0]))
-    def time_passes(self, seconds: float) -> None:
+    def wait(self, seconds: float) -> None:
         run_for(self.cluster, seconds)
 
     @invariant()
-    def rules_hold(self) -> None:
+    def invariants_hold(self) -> None:
         if not hasattr(self, "cluster"):
             return
         self.cluster.check()
@@ -98,7 +98,7 @@
             reconnect_zones(self.cluster)
             run_for(self.cluster, 90.0)
             for job_id in sorted(self.cluster.accepted):
-                assert self.cluster.query("n0", job_id) is not None, "known to the end"
+                assert self.cluster.query("n0", job_id) is not None, "an accepted job must stay known"
 
 
 TestZonesUnderFaults = ZonesUnderFaults.TestCase
