--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -71,11 +71,11 @@
         decision = decide(level, SWEEP, name)
         assert decision.admitted == (levels_left == 0)
         assert decision.admitted or 1 <= decision.retry_after_s <= choice.MAX_RETRY_S
-        later_level, window = level, level.windows[0]
+        current_level, window = level, level.windows[0]
         for _ in range(levels_left):
             assert not window.admits(position(KEY, name))
             window = msgspec.structs.replace(
-                window, start=(window.start + later_level.step(window)) % POSITIONS
+                window, start=(window.start + current_level.step(window)) % POSITIONS
             )
         assert window.admits(position(KEY, name))
 
@@ -327,7 +327,7 @@
     assert other.rates(99.0) == {}, "a new leader must not count old jobs as new"
 
 
-def test_rates_and_the_capacity_for_acceptances() -> None:
+def test_estimates_of_rates_and_of_the_capacity_for_acceptances() -> None:
     rates: Rates[str] = Rates(10.0)
     for second in range(20):
         rates.note("a", float(second), 3)
--- a/tests/test_task_log.py
+++ b/tests/test_task_log.py
@@ -44,7 +44,7 @@
         builder.add_snapshots({job: set(expected_tasks) for job, expected_tasks in changed.items()})
         slot, slot_version = task_log.next_slots(1)[0]
         assert self.stored.get(slot, (0, None))[0] == slot_version, (
-            "the task log has the stored version of the slot"
+            "the task log must know the stored version of the slot"
         )
         self.version += 1
         value = orjson.loads(orjson.dumps(builder.build()))
