--- a/tests/test_cancellation_under_faults.py
+++ b/tests/test_cancellation_under_faults.py
@@ -1,6 +1,6 @@
-"""Cancellations, confirmed to users, during other faults: none of their tasks runs past the bound.
+"""Cancellations confirmed to users during other faults: no task of a cancelled job runs past `cancel_s`.
 
-Each test brings its combination of faults about and asserts that it did; the simulated cluster checks the
+Each test creates its combination of faults and asserts that it occurred. The simulated cluster checks the
 rules of the protocol at every start, at every answer to a user and at every step.
 """
 
@@ -28,10 +28,11 @@
 
 @pytest.mark.parametrize("notified", [True, False])
 @pytest.mark.parametrize("refused_s", [0.5, 1.5, 2.4])
-def test_cancelled_tasks_stop_in_time_when_first_the_leader_then_everyone_loses_the_store(
+def test_cancelled_tasks_stop_in_time_when_the_store_fails_for_the_leader_and_then_for_all(
     refused_s: float, notified: bool
 ) -> None:
-    """Notified over the mesh, the leader stops them at once; otherwise the bound on the age of reads does."""
+    """A leader notified over the mesh stops the tasks at once; otherwise the limit on the age of reads stops
+    them."""
     cluster = cluster_running_a_job()
     name, leader, other = leader_and_other(cluster)
     if not notified:
@@ -41,13 +42,13 @@
     assert cluster.cancel(other, "req-000001") == "aborted"
     cluster.nodes[other].notices.send()
     cluster.store.down = True
-    assert not leader.watch_cache.is_cancelled("req-000001"), "the leader has not read it"
+    assert not leader.watch_cache.is_cancelled("req-000001"), "the leader has not read the cancellation"
     run_for(cluster, 2.0)
     outage_at = cluster.clock.now
     if notified:
         run_for(cluster, 3.0)
         assert not running_tasks(cluster), "stopped because the other controller notified the leader"
-    run_for(cluster, cluster.cancel_s + 5.0)  # the simulated cluster checks the bound
+    run_for(cluster, cluster.cancel_s + 5.0)  # the simulated cluster checks `cancel_s`
     assert cluster.clock.now - outage_at > cluster.cancel_s
     assert not running_tasks(cluster)
     assert cluster.leader() == name, "no failover: the store was down for all"
@@ -58,9 +59,9 @@
     assert {cluster.query(n, "req-000001") for n in cluster.nodes} == {"aborted"}
 
 
-def test_writes_of_a_leader_whose_reads_fail_do_not_count_as_knowledge_of_cancellations() -> None:
-    """Its commits and comparisons of the leadership record succeeded, while it read nothing that other
-    controllers had confirmed."""
+def test_writes_of_a_leader_whose_reads_fail_do_not_count_as_reads_of_cancellations() -> None:
+    """The leader's commits and comparisons of the leadership record succeed while it reads none of the
+    cancellations that other controllers have confirmed."""
     cluster = cluster_running_a_job(machines=4)
     name, leader, other = leader_and_other(cluster)
     cluster.submit(name, cluster.job(2, crew="blue", parts=12, guess_s=500.0))
@@ -70,7 +71,7 @@
     run_for(cluster, 1.0, cloud=False)
     assert cluster.cancel(other, "req-000001") == "aborted"
     before = cluster.store.revision
-    for task in range(12):  # it writes all the time
+    for task in range(12):  # the leader keeps writing
         cluster.finish(f"req-000002/{task}")
         run_for(cluster, 1.5, cloud=False)
     assert leader.scheduler.leader
@@ -83,12 +84,12 @@
 
 @pytest.mark.parametrize("mixed", [False, True])
 def test_a_hung_machine_with_cancelled_tasks_is_deleted_in_time_during_an_outage(mixed: bool) -> None:
-    """No controller is a verified leader, and a hung machine does not act on the end of its lease. It alone
-    is deleted; if it runs other work too, only as late as the bound allows."""
+    """No controller is a verified leader, and a hung machine does not stop its tasks when its lease expires.
+    Only the hung machine is deleted; if it also runs other work, only as late as `cancel_s` allows."""
     cluster = cluster_running_a_job(parts=2 if mixed else 8, cancel_s=30.0)
     name, leader, other = leader_and_other(cluster)
     assert leader.scheduler.staleness_limit() < 0.5 * cluster.cancel_s, (
-        "not verified any more when it has to act"
+        "the leader is no longer verified when it has to act"
     )
     if mixed:
         cluster.submit(name, cluster.job(2, crew="blue", parts=6, guess_s=500.0))
@@ -112,13 +113,13 @@
     run_for(cluster, 15.0)
     worker_with_running_tasks(
         cluster
-    ).hung = True  # its heartbeat timeout comes after the leader has lost verification
+    ).hung = True  # its heartbeat times out after the leader has ceased to be verified
     run_for(cluster, cluster.cancel_s)
     assert cluster.cloud.deleted == []
 
 
-def test_a_leader_that_alone_is_refused_by_the_store_deletes_nothing_unverified() -> None:
-    """The store serves another controller, which decides instead: it is the new leader or will be soon."""
+def test_an_unverified_leader_deletes_nothing_while_the_store_serves_another_controller() -> None:
+    """The other controller decides instead: it is the new leader or becomes it soon."""
     cluster = cluster_running_a_job(parts=8)
     name, leader, other = leader_and_other(cluster)
     cluster.store.unavailable_to.add(name)
@@ -136,7 +137,7 @@
     assert not leader.verifier.no_competing_leader(), "a higher fencing token was seen"
 
 
-def test_a_relay_stops_cancelled_tasks_on_a_stale_watch_cache() -> None:
+def test_a_relay_with_a_stale_watch_cache_stops_cancelled_tasks() -> None:
     cluster = cluster_running_a_job(machines=1)
     name = cluster.require_leader()
     worker = worker_with_running_tasks(cluster)
@@ -170,7 +171,7 @@
     assert not running_tasks(cluster), "stopped by a direct command"
 
 
-def test_a_cancellation_notice_is_repeated_until_the_leader_acknowledges_it_or_it_is_too_late() -> None:
+def test_a_cancellation_notice_is_repeated_until_it_is_acknowledged_or_cancel_s_has_passed() -> None:
     cluster = cluster_running_a_job()
     name, leader, other = leader_and_other(cluster)
     cluster.mesh_cuts.add(name)
@@ -185,7 +186,7 @@
     assert cluster.cancel(other, "req-000002") == "aborted"
     assert not cluster.nodes[other].notices.send()
     cluster.pass_time(cluster.cancel_s)
-    assert cluster.nodes[other].notices.send(), "it is too late for the notice to be of use"
+    assert cluster.nodes[other].notices.send(), "after `cancel_s` the notice has no use"
 
 
 def test_cancellation_notices_over_the_mesh_are_validated() -> None:
@@ -217,8 +218,8 @@
 
 
 def test_a_start_command_follows_a_read_that_shows_the_cancellations_of_other_controllers() -> None:
-    """The check before a start was a comparison of the leadership record alone, which a cancellation
-    confirmed by another controller in between does not change: the task was started all the same."""
+    """Guards against a check before a start that only compares the leadership record. A cancellation that
+    another controller confirms in between does not change that record, so the task was started."""
     cluster = started_cluster(machines=1, nodes=3)
     name, leader, other = leader_and_other(cluster)
     leader_with_unwritten_placements(cluster, name)
@@ -255,7 +256,7 @@
             break
     assert cluster.cancel("n2", "req-000020") == "aborted"
     run_for(cluster, 2.0)
-    assert cluster.late_starts == ["req-000020/0"], "the start was on its way at the cancellation"
+    assert cluster.late_starts == ["req-000020/0"], "the start command was in flight at the cancellation"
     recover_and_check(cluster)
 
 
@@ -281,7 +282,9 @@
     cluster.finish("req-000002/0")
     cluster.store.unavailable_to.add(name)
     assert cluster.nodes[name].query("req-000001")[0] == 503
-    assert cluster.nodes[name].cancel("req-000001")[0] == 503, "not certain, so never 200"
+    assert cluster.nodes[name].cancel("req-000001")[0] == 503, (
+        "the outcome is not certain, so the status is never 200"
+    )
     assert cluster.cancel(other, "req-000001") == "aborted"
     cluster.store.down = True
     for _ in range(int(cluster.cancel_s + 8.0)):
@@ -317,7 +320,7 @@
     recover_and_check(cluster, 100.0)
     assert sum(job_id not in cluster.cancelled for job_id in cluster.accepted) == submitted - cancelled
     assert sum(key.startswith("b/log/") for key in cluster.store.rows) < 60, (
-        "the log does not grow with the jobs"
+        "the task log does not grow with the number of jobs"
     )
 
 
@@ -353,7 +356,7 @@
 
 
 def worker_with_tasks(cluster: Cluster) -> FakeWorker:
-    """The first worker that has a task, running or ended."""
+    """Returns the first worker that has a task, running or ended."""
     return next(worker for worker in cluster.workers.values() if worker.tasks)
 
 
@@ -362,7 +365,7 @@
     old, old_leader, _ = leader_and_other(cluster)
     cluster.store.unreachable_from.add(old)
     cluster.mesh_cuts.add(old)
-    run_for(cluster, 3.5, cloud=False)  # its membership ends
+    run_for(cluster, 3.5, cloud=False)  # its membership expires
     for _ in range(12):
         for name in list(cluster.nodes):
             if name != old:
@@ -380,7 +383,8 @@
 def test_jobs_are_cancelled_before_during_and_after_the_recovery_of_a_new_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Before the new leader's last read, between that read and its recovery, and right after."""
+    """One job is cancelled before the new leader's last read, one between that read and its recovery, and one
+    right after the recovery."""
     cluster = cluster_running_a_job(parts=3)
     old, _, other = leader_and_other(cluster)
     cluster.submit(other, cluster.job(2, parts=3, crew="blue", guess_s=500.0))
@@ -421,7 +425,7 @@
     cluster.submit("n0", cluster.job(3, parts=8, guess_s=500.0))
     cluster.submit("n0", cluster.job(4, parts=16, crew="blue", guess_s=500.0))
     run_for(cluster, 5.0, cloud=False)
-    assert len(running_tasks(cluster)) == 24, "both teams are at their limits, and more tasks wait"
+    assert len(running_tasks(cluster)) == 24, "both teams are at their quotas, and more tasks wait"
     stranded = [worker for worker in cluster.workers.values() if worker.running()][:2]
     for worker in stranded:
         if fault == "cut":
@@ -431,31 +435,32 @@
     cluster.cancel("n1", "req-000001")
     cluster.cancel("n2", "req-000002")
     kill_controller(cluster, cluster.require_leader())
-    left = len([p for worker in stranded for p in worker.running()])
-    assert left > 0
-    run_for(cluster, 14.0)  # quotas are checked
+    remaining = len([p for worker in stranded for p in worker.running()])
+    assert remaining > 0
+    run_for(cluster, 14.0)  # the cluster checks the team quotas
     run_for(cluster, cluster.cancel_s)
     assert not [p for p in running_tasks(cluster) if p[:10] in ("req-000001", "req-000002")]
     assert len(running_tasks(cluster)) == 24, "the waiting tasks run in their place"
     recover_and_check(cluster)
 
 
-def test_a_read_does_not_count_before_the_scheduler_has_reconciled_what_it_found(
+def test_a_read_does_not_advance_as_of_before_the_scheduler_has_reconciled_its_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One thread has read a cancellation and is about to reconcile it with the scheduler; the read of a
-    second thread finds it in the cache already, and must not count before the first thread has finished."""
+    """One thread has read a cancellation and is about to reconcile it with the scheduler. The read of a
+    second thread finds the cancellation in the watch cache already; it must not advance `as_of` before the
+    first thread has finished."""
     cluster = started_cluster(machines=1, nodes=2)
     name, leader, other = leader_and_other(cluster)
     cluster.submit(name, cluster.job(1))
     leader.watch_cache.pull(0.0)
     assert cluster.cancel(other, "req-000001") == "aborted"
-    reconciling, go_on = threading.Event(), threading.Event()
+    reconciling, may_continue = threading.Event(), threading.Event()
     reconcile_job = leader.scheduler.reconcile_job
 
     def reconcile_slowly(record: Record, version: int) -> None:
         reconciling.set()
-        assert go_on.wait(30.0)
+        assert may_continue.wait(30.0)
         reconcile_job(record, version)
 
     monkeypatch.setattr(leader.scheduler, "reconcile_job", reconcile_slowly)
@@ -466,10 +471,10 @@
     cluster.clock.now += 1.0
     second = threading.Thread(target=leader.watch_cache.pull, args=(0.0,))
     second.start()
-    second.join(0.3)  # with the fault it has finished by then; without it never has
+    second.join(0.3)  # with the fault, the second read finishes by then; without it, it waits
     assert leader.watch_cache.as_of == before
     assert not leader.scheduler.state.jobs["req-000001"].cancelled
-    go_on.set()
+    may_continue.set()
     for thread in (first, second):
         thread.join()
     assert leader.watch_cache.as_of > before
--- a/tests/test_concurrent_faults.py
+++ b/tests/test_concurrent_faults.py
@@ -1,7 +1,7 @@
-"""Two faults at the same time, one test for each combination (`docs/meetings.md`).
+"""Two faults at the same time, with one test for each combination (`docs/meetings.md`).
 
-Each test brings its combination about and asserts that it did; the simulated cluster checks the rules of the
-protocol at every start, at every answer to a user and at every step.
+Each test creates its combination of faults and asserts that it occurred. The simulated cluster checks the
+rules of the protocol at every start, at every answer to a user and at every step.
 """
 
 import orjson
@@ -22,7 +22,7 @@
 
 
 def fail_over_and_restart(cluster: Cluster) -> str:
-    """End the leader's process, restart it after the failover; the name of the leader at that time."""
+    """Kills the leader, restarts it after the failover and returns the name of the leader at that time."""
     name = cluster.require_leader()
     kill_controller(cluster, name)
     while cluster.leader() is None:
@@ -31,8 +31,8 @@
     return cluster.require_leader()
 
 
-@pytest.mark.parametrize("ends", [False, True])
-def test_transactions_are_applied_and_their_responses_lost_while_others_read_them(ends: bool) -> None:
+@pytest.mark.parametrize("is_killed", [False, True])
+def test_transactions_are_applied_and_their_responses_lost_while_others_read_them(is_killed: bool) -> None:
     cluster = cluster_running_a_job()
     name, _, other = leader_and_other(cluster)
     cluster.store.loses_responses_to.add(name)
@@ -47,13 +47,19 @@
         run_for(cluster, 1.0, cloud=False)
         cluster.query_everywhere(1, parts=4, guess_s=500.0)
         cluster.query_everywhere(2, parts=1, crew="blue")
-    assert cluster.query(other, "req-000001") == "done", "others read what it wrote"
-    assert cluster.submit(name, cluster.job(3)) == 503, "it can't know whether the record exists"
-    assert cluster.submit(other, cluster.job(3)) == 200, "known to all, since the transaction was applied"
+    assert cluster.query(other, "req-000001") == "done", (
+        "the other controllers read what this controller wrote"
+    )
+    assert cluster.submit(name, cluster.job(3)) == 503, (
+        "the controller can't determine whether the record exists"
+    )
+    assert cluster.submit(other, cluster.job(3)) == 200, (
+        "the transaction was applied, so every controller can read the job"
+    )
     assert cluster.query_everywhere(3)[0] == "pending"
     assert cluster.nodes[name].cancel("req-000003")[0] == 503
     assert set(cluster.query_everywhere(3)) == {"aborted"}
-    if ends:
+    if is_killed:
         kill_controller(cluster, name)
     recover_and_check(cluster)
 
@@ -82,7 +88,8 @@
 
 
 def test_an_old_heartbeat_reaches_every_controller_just_as_a_new_leader_recovers() -> None:
-    """The first heartbeat that it gets of a machine is minutes old: it starts and closes nothing there."""
+    """The first heartbeat of a machine that the new leader receives is minutes old: it must neither start nor
+    close anything on that machine."""
     cluster = cluster_running_a_job(machines=2)
     old = cluster.require_leader()
     idle_heartbeats = [r for r in cluster.sent_heartbeats if not r.tasks]
@@ -143,7 +150,7 @@
     for name in [n for n, worker in cluster.workers.items() if worker.zone == "south"]:
         del cluster.workers[name]
     kill_controller(cluster, cluster.require_leader())
-    run_for(cluster, 90.0)  # wrong_place is checked at each start
+    run_for(cluster, 90.0)  # the cluster checks `wrong_place` at each start
     assert len(running_tasks(cluster)) == 14
     recover_and_check(cluster)
 
@@ -161,7 +168,7 @@
     run_for(cluster, 6.0, cloud=False)
     assert list(cluster.nodes) == ["n1"]
     assert cluster.leader() == "n1"
-    assert len(running_tasks(cluster)) == 8, "within a lease all tasks continue"
+    assert len(running_tasks(cluster)) == 8, "no lease has expired, so all tasks continue"
     recover_and_check(cluster)
 
 
@@ -194,15 +201,17 @@
     name, _, other = leader_and_other(cluster)
     cluster.submit(other, cluster.job(2, parts=4, crew="blue"))
     run_for(cluster, 2.0, cloud=False)
-    for number, (task_id, again) in enumerate([("req-000001/0", True), ("req-000002/1", False)], 3):
+    for number, (task_id, also_cancels) in enumerate([("req-000001/0", True), ("req-000002/1", False)], 3):
         cluster.store.write_delay_s[name] = cluster.store.write_delay_s[other] = late_s
         cluster.finish(task_id)
         assert cluster.submit(other, cluster.job(number, crew="blue", parts=1)) == 503
-        if again:
+        if also_cancels:
             assert cluster.nodes[other].cancel("req-000002")[0] == 503
         run_for(cluster, 1.0, cloud=False)
         cluster.store.write_delay_s.clear()
-        assert cluster.submit(other, cluster.job(number, crew="blue", parts=1)) == 201, "the newer one"
+        assert cluster.submit(other, cluster.job(number, crew="blue", parts=1)) == 201, (
+            "the newer transaction is applied first"
+        )
         run_for(cluster, late_s + 1.0, cloud=False)
         cluster.query_everywhere(number, crew="blue", parts=1)
         cluster.query_everywhere(2, parts=4, crew="blue")
@@ -221,25 +230,25 @@
         cluster.network_cuts |= {(stranded.name, node) for node in cluster.names}
     setattr(stranded, "unresponsive" if fault == "unresponsive" else "hung", fault != "cut")
     kill_controller(cluster, cluster.require_leader())
-    run_for(cluster, 60.0)  # ran_twice is checked at each start
+    run_for(cluster, 60.0)  # the cluster checks `ran_twice` at each start
     assert stranded.name in cluster.cloud.deleted
     assert set(parts) <= set(running_tasks(cluster)), "its tasks run elsewhere"
     recover_and_check(cluster)
 
 
-def test_no_start_on_new_machines_before_lagging_writes_are_durable_and_the_leader_ends() -> None:
+def test_nothing_starts_on_new_machines_while_delayed_writes_are_not_durable_and_the_leader_ends() -> None:
     cluster = cluster_running_a_job(parts=2, machines=1)
     name, _, other = leader_and_other(cluster)
     cluster.submit(other, cluster.job(2, parts=12, crew="blue", guess_s=500.0))
     cluster.store.write_delay_s[name] = 6.0
     cluster.step_controller(name)
     cluster.cloud_step(name)
-    assert len(cluster.workers) > 1, "launched, and up at once"
+    assert len(cluster.workers) > 1, "machines were launched and are up at once"
     for _ in range(4):
         run_for(cluster, 0.5)
     assert cluster.store.late_writes and not [
         p for p in running_tasks(cluster) if p.startswith("req-000002")
-    ], "not durable, so not started"
+    ], "the placements are not durable, so nothing is started"
     kill_controller(cluster, name)
     run_for(cluster, 12.0)
     assert cluster.require_leader() != name
@@ -301,10 +310,12 @@
     run_for(cluster, 2.0, cloud=False)
     cluster.finish(task_id)
     run_for(cluster, 2.0, cloud=False)
-    body = cluster.command(name, f"{worker.name}:9", late_command)  # executed only now
+    body = cluster.command(name, f"{worker.name}:9", late_command)  # the late command is executed only now
     assert body is not None
     run_for(cluster, 2.0, cloud=False)
-    assert len(running_tasks(cluster)) == 1, "it names an attempt that has ended, and stops nothing else"
+    assert len(running_tasks(cluster)) == 1, (
+        "the command names an attempt that has ended, and stops nothing else"
+    )
     recover_and_check(cluster)
 
 
@@ -350,7 +361,7 @@
     recover_and_check(cluster)
 
 
-NEVER_VALID = (
+INVALID_FIELDS = (
     {"cpus": 64.0},
     {"crew": "nobody"},
     {"builds": ["none"]},
@@ -366,7 +377,7 @@
     assert cluster.cancel("n2", "req-000001") == "done"
     submission = orjson.loads(cluster.job(2))
     for name in list(cluster.nodes):
-        for fields in NEVER_VALID:
+        for fields in INVALID_FIELDS:
             assert cluster.submit(name, cluster.job(2, **fields)) == 422, fields
         for field in ("lane", "crew", "shape", "rank", "parts", "cpus", "mem_gb", "together", "guess_s"):
             assert (
--- a/tests/test_durable_writes.py
+++ b/tests/test_durable_writes.py
@@ -1,4 +1,4 @@
-"""The group commit: what is committed, lost, late, too large for one value."""
+"""Group commit: committed, lost and late transactions, and data too large for one value."""
 
 from fakes.cluster import Cluster
 from fakes.scenarios import leader_with_unwritten_placements, run_for, running_tasks, started_cluster
@@ -17,7 +17,7 @@
     assert len(running_tasks(cluster)) == 2
 
 
-def test_a_lost_response_to_a_committed_transaction_loses_and_doubles_nothing(cluster: Cluster) -> None:
+def test_a_lost_response_to_a_committed_transaction_neither_loses_nor_repeats_tasks(cluster: Cluster) -> None:
     node = leader_with_unwritten_placements(cluster)
     cluster.store.loses_next_response_to.add("n0")
     assert not cluster.try_step(node.commit_loop.commit_once) or node.scheduler.has_pending_writes()
@@ -31,7 +31,7 @@
     assert cluster.query("n0", "req-000001") == "done"
 
 
-def test_a_transaction_executed_late_does_not_overwrite_what_came_after_it(cluster: Cluster) -> None:
+def test_a_transaction_executed_late_does_not_overwrite_later_writes(cluster: Cluster) -> None:
     node = leader_with_unwritten_placements(cluster)
     cluster.store.delays_next_write_of.add("n0")
     cluster.try_step(node.commit_loop.commit_once)
@@ -63,7 +63,7 @@
     assert [a.task_id for a in worker.tasks.values()] == ["req-000001/1"]
 
 
-def test_a_large_array_goes_into_small_values_and_comes_back_whole() -> None:
+def test_a_large_array_is_split_into_small_values_and_recovered_completely() -> None:
     cluster = started_cluster(machines=4, value_kb=0.6)
     cluster.submit("n0", cluster.job(1, parts=500, cpus=0.1, mem_gb=0.1))
     for _ in range(8):
@@ -81,7 +81,7 @@
     assert len(job.done) >= 15 and len(job.open) > 30
 
 
-def test_a_response_to_a_write_of_an_earlier_term_says_nothing_of_this_one() -> None:
+def test_a_response_to_a_write_of_an_earlier_term_confirms_no_write_of_this_term() -> None:
     """The same process loses the leadership record and wins it again while a transaction is in flight."""
     cluster = started_cluster(nodes=1)
     node = leader_with_unwritten_placements(cluster, parts=4)
@@ -91,7 +91,7 @@
     cluster.step_controller("n0")  # recovers again, under the new leadership record
     assert node.scheduler.term == node.membership.record.version != batch.term
     for _ in range(2):
-        cluster.step()  # the workers have got the new fencing token
+        cluster.step()  # the workers have received the new fencing token
     cluster.submit("n0", cluster.job(2, crew="blue"))
     node.watch_cache.pull(0.0)
     node.scheduler.round()
@@ -100,17 +100,19 @@
     node.scheduler.committed(batch)
     assert not any(p.durable for p in [*batch.placements, *in_flight.placements])
     assert in_flight.placements
-    assert node.scheduler.state.in_flight is in_flight, "what this term has in flight is not answered by that"
+    assert node.scheduler.state.in_flight is in_flight, (
+        "the response does not answer the batch that this term has in flight"
+    )
     node.scheduler.not_committed(in_flight)
     for _ in range(3):
         cluster.step()
     assert len(running_tasks(cluster)) == 6
 
 
-def test_a_late_write_of_the_old_incarnation_does_not_pass_for_the_new_one() -> None:
+def test_a_late_write_of_the_old_incarnation_does_not_replace_the_new_one() -> None:
     cluster = started_cluster(nodes=1)
     cluster.store.delays_next_write_of.add("n0")
-    cluster.boot("n0")  # its membership is on its way when it ends
+    cluster.boot("n0")  # its membership write is in flight when the process ends
     assert cluster.store.delayed_writes
     node = cluster.boot("n0")
     run_for(cluster, 1.0)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""A leader that was replaced, and what its successor recovers."""
+"""Failovers: a replaced leader has no further effect, and its successor recovers the state."""
 
 import pytest
 from fakes.cluster import Cluster
@@ -22,7 +22,7 @@
     cluster.submit("n1", cluster.job(1))
     cluster.nodes[leader].watch_cache.pull(0.0)
     cluster.nodes[leader].scheduler.round()
-    cluster.nodes[leader].commit_loop.commit_once()  # placed and committed, not started
+    cluster.nodes[leader].commit_loop.commit_once()  # placed and durable, not yet started
     before = cluster.nodes[leader].membership.record.fencing_token
     del cluster.nodes[leader]
     for _ in range(12):
@@ -37,7 +37,7 @@
     old = cluster.nodes[old_name]
     cluster.step_controller(other)
     worker = cluster.first_worker()
-    cluster.heartbeat(worker, old_name)  # the old leader does not know yet
+    cluster.heartbeat(worker, old_name)  # the old leader has not yet detected its replacement
     assert worker.running() == []
     old.commit_loop.commit_once()
     assert not old.scheduler.leader, "its write failed on the leadership record, so it has stepped down"
@@ -46,10 +46,10 @@
     assert len(running_tasks(cluster)) == 4
 
 
-def test_a_replaced_leader_that_has_seen_the_new_leadership_record_does_not_write_under_its_version() -> None:
+def test_a_replaced_leader_that_has_read_the_new_leadership_record_does_not_write_under_its_version() -> None:
     cluster, old_name, _ = replaced_leader_with_unwritten_placements()
     old = cluster.nodes[old_name]
-    # The leadership record is seen; the thread that makes the scheduler follow it has not run yet.
+    # The watch cache has the new record; the thread that updates the scheduler by it has not run yet.
     old.watch_cache.pull(0.0)
     assert old.scheduler.leader and not old.membership.is_leader()
     before = task_log_rows(cluster)
@@ -76,14 +76,15 @@
     assert worker.receive(late, sent, heartbeat.epoch) == 0
 
 
-def test_a_controller_behind_the_fencing_token_of_a_worker_commands_nothing(cluster: Cluster) -> None:
+def test_a_controller_with_a_lower_fencing_token_than_a_worker_sends_no_commands(cluster: Cluster) -> None:
     worker = cluster.first_worker()
     worker.fencing_token = 99
     assert cluster.heartbeat(worker, "n0") == 503
 
 
 def test_a_machine_that_has_not_acknowledged_the_fencing_token_gets_no_work() -> None:
-    """After a failover: its heartbeats come, perhaps only replayed, but it has acted on no response."""
+    """After a failover, the new leader receives heartbeats of the machine, perhaps only replayed ones, but
+    the machine has acted on no response."""
     cluster = started_cluster(machines=1)
     worker = cluster.first_worker()
     worker.unresponsive = True
@@ -120,7 +121,7 @@
     assert cluster.query("n2", "req-000001") == "done"
 
 
-def test_a_new_leader_knows_the_images_from_the_summary_of_its_predecessor() -> None:
+def test_a_new_leader_recovers_the_images_from_the_summary_of_its_predecessor() -> None:
     cluster = started_cluster(machines=30, nodes=2, value_kb=0.5)
     leader = cluster.require_leader()
     cluster.submit(leader, cluster.job(1, parts=1))
@@ -128,15 +129,17 @@
     cluster.step()
     cluster.finish("req-000001/0")
     cluster.step()
-    have = [m.name for m in cluster.nodes[leader].scheduler.state.machines.values() if any(m.images.values())]
-    assert len(have) == 1
+    with_images = [
+        m.name for m in cluster.nodes[leader].scheduler.state.machines.values() if any(m.images.values())
+    ]
+    assert len(with_images) == 1
     cluster.nodes[leader].summary_writer.step()
     assert max(cluster.store.written_sizes) <= 512
     del cluster.nodes[leader]
     for _ in range(12):
         cluster.step()
     new = cluster.nodes[cluster.require_leader()].scheduler
-    assert [m.name for m in new.state.machines.values() if any(m.images.values())] == have
+    assert [m.name for m in new.state.machines.values() if any(m.images.values())] == with_images
 
 
 def test_a_job_submitted_while_a_new_leader_reads_the_records_is_not_overlooked(
@@ -145,12 +148,12 @@
     recover = JobRecords.recover
 
     def recover_late(scheduler: JobRecords, recovered: RecoveredState) -> None:
-        # The watch cache sees it when there is no leader yet to publish it to.
+        # The watch cache reads the job while there is no leader yet to publish it to.
         assert cluster.submit("n0", cluster.job(1)) == 201
         recover(scheduler, recovered)
 
     monkeypatch.setattr(JobRecords, "recover", recover_late)
-    # Its old incarnation is gone from the leadership record at once, so it takes over here.
+    # The old incarnation is removed from the leadership record at once, so n0 becomes leader here.
     cluster.boot("n0")
     for _ in range(3):
         cluster.step()
@@ -177,7 +180,7 @@
     assert not any(m.registered for m in cluster.nodes["n0"].scheduler.state.machines.values())
 
 
-def test_replayed_heartbeats_revive_no_machine_after_a_failover() -> None:
+def test_replayed_heartbeats_of_a_deleted_machine_get_it_no_work_after_a_failover() -> None:
     cluster = started_cluster(machines=1)
     worker = cluster.first_worker()
     old_heartbeats = [worker.heartbeat() for _ in range(3)]
@@ -188,11 +191,11 @@
     for heartbeat in old_heartbeats:
         cluster.replay(heartbeat, "n0")
         run_for(cluster, 0.5, cloud=False)
-    assert cluster.nodes["n0"].scheduler.state.machines, "its heartbeats came"
-    assert not cluster.nodes["n0"].scheduler.state.jobs["req-000001"].open, "and it got no work"
+    assert cluster.nodes["n0"].scheduler.state.machines, "the heartbeats were processed"
+    assert not cluster.nodes["n0"].scheduler.state.jobs["req-000001"].open, "the machine got no work"
 
 
-def test_workers_of_an_isolated_leader_reach_one_that_can_act_with_their_tasks() -> None:
+def test_workers_of_an_isolated_leader_move_to_a_new_leader_and_keep_their_tasks() -> None:
     cluster = started_cluster(machines=3, nodes=3)
     leader = cluster.require_leader()
     cluster.submit(leader, cluster.job(1, crew="blue", parts=12))
@@ -205,9 +208,9 @@
     assert cluster.leader() is not None and any(
         n.scheduler.leader for k, n in cluster.nodes.items() if k != leader
     )
-    assert [worker.epoch for worker in cluster.workers.values()] == epochs, "no lease ran out"
+    assert [worker.epoch for worker in cluster.workers.values()] == epochs, "no lease has expired"
     assert len(running_tasks(cluster)) == 12
-    assert not cluster.nodes[leader].healthy(), "its users go elsewhere"
+    assert not cluster.nodes[leader].healthy(), "users are directed to other controllers"
     cluster.cancel(next(n for n in cluster.nodes if n != leader), "req-000001")
     run_for(cluster, 10.0)
     assert running_tasks(cluster) == []
--- a/tests/test_failover_run_times.py
+++ b/tests/test_failover_run_times.py
@@ -1,4 +1,4 @@
-"""What a new leader makes of tasks that were running before it: it does not know since when."""
+"""Run times after a failover: the new leader has no start times of tasks that were already running."""
 
 from fakes.cluster import Cluster
 from fakes.scenarios import run_for, running_tasks, started_cluster
@@ -9,7 +9,7 @@
 
 
 def failed_over_cluster() -> tuple[Cluster, str]:
-    """A cluster in which six tasks have run for 30 s when another controller takes over, and that one."""
+    """Returns a cluster in which six tasks had run for 30 s before a failover, and the new leader's name."""
     cluster = started_cluster(machines=2, nodes=2)
     cluster.submit("n0", cluster.job(1, crew="open", parts=6, guess_s=GUESS_S))
     run_for(cluster, 30.0, cloud=False)
@@ -23,9 +23,10 @@
     return cluster, successor
 
 
-def test_tasks_that_end_after_a_failover_teach_no_run_times() -> None:
-    """They counted as runs of a few seconds, the class was expected to end at once, and after each failover
-    the backlog seemed to be nothing, for launching, for stops and for the order of service."""
+def test_tasks_placed_before_a_failover_do_not_change_the_expected_run_time() -> None:
+    """Guards against counting them as runs of a few seconds. Jobs of the class were then expected to end at
+    once, and after each failover the backlog was estimated as zero for launches, for stopping tasks and for
+    the order of service."""
     cluster, successor = failed_over_cluster()
     scheduler = cluster.nodes[successor].scheduler
     for task in range(4):
@@ -36,7 +37,7 @@
     assert scheduler.state.expected(job) == GUESS_S
 
 
-def test_tasks_that_the_new_leader_placed_do_teach_run_times() -> None:
+def test_tasks_placed_by_the_new_leader_change_the_expected_run_time() -> None:
     cluster, successor = failed_over_cluster()
     scheduler = cluster.nodes[successor].scheduler
     cluster.submit(successor, cluster.job(2, crew="open", parts=2, guess_s=GUESS_S))
--- a/tests/test_faulty_machines.py
+++ b/tests/test_faulty_machines.py
@@ -1,4 +1,4 @@
-"""Machines that fall silent, do not respond or fail what they start; and jobs that fail everywhere."""
+"""Machines that are silent, unresponsive or fail the tasks they start, and jobs that fail on all machines."""
 
 from fakes.scenarios import run_for, running_tasks, started_cluster
 
@@ -16,9 +16,9 @@
     for _ in range(40):
         cluster.step(1.0)
         cluster.cloud_step("n0")
-    assert cluster.cloud.late_deletes, "deletion was asked for"
+    assert cluster.cloud.late_deletes, "deletion was requested"
     assert running_tasks(cluster) in ([], ["req-000001/0"]) and not spare.running(), (
-        "no proof yet: nothing is requeued"
+        "no proof of the deletion yet, so nothing is requeued"
     )
     cluster.cloud.deletes_lost = False
     for _ in range(3):
@@ -29,7 +29,7 @@
     assert spare.running() == ["req-000001/0"]
 
 
-def test_when_many_fall_silent_together_they_get_more_time_than_one_alone() -> None:
+def test_many_machines_that_become_silent_together_get_more_time_than_a_single_one() -> None:
     cluster = started_cluster(machines=8)
     cluster.submit("n0", cluster.job(1, crew="blue", parts=16, guess_s=200.0))
     run_for(cluster, 3.0)
@@ -37,7 +37,7 @@
     cut = sorted(cluster.workers)[:4]
     cluster.network_cuts |= {(name, "n0") for name in cut}
     run_for(cluster, 20.0)
-    assert cluster.cloud.deleted == [], "a cut, most likely"
+    assert cluster.cloud.deleted == [], "most likely a network cut, so no machine is deleted yet"
     cluster.network_cuts.clear()
     run_for(cluster, 5.0)
     assert len(running_tasks(cluster)) == 16 and before
@@ -53,12 +53,12 @@
     cluster.submit("n0", cluster.job(1))
     run_for(cluster, 8.0)
     assert unresponsive.name in cluster.cloud.deleted, (
-        "starts that never show up reveal it, long before a lease expires"
+        "detected by starts missing from its heartbeats, long before a lease expires"
     )
     assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
 
 
-def test_an_unresponsive_machine_with_running_tasks_loses_them_and_no_more() -> None:
+def test_running_tasks_of_an_unresponsive_machine_run_elsewhere_after_its_deletion() -> None:
     cluster = started_cluster(machines=1)
     unresponsive = cluster.first_worker()
     cluster.submit("n0", cluster.job(1, parts=4))
@@ -70,7 +70,7 @@
     assert len(running_tasks(cluster)) == 4
 
 
-def test_an_idle_unresponsive_machine_is_found_by_its_lease_expiries() -> None:
+def test_an_idle_unresponsive_machine_is_detected_by_its_expired_leases() -> None:
     cluster = started_cluster(machines=1)
     unresponsive = cluster.first_worker()
     unresponsive.unresponsive = True
@@ -81,18 +81,18 @@
     )
 
 
-def test_a_cancelled_task_on_an_unresponsive_machine_is_gone_in_time() -> None:
+def test_cancelled_tasks_on_unresponsive_machines_are_stopped_in_time() -> None:
     cluster = started_cluster(machines=2)
     cluster.submit("n0", cluster.job(1, parts=8))
     run_for(cluster, 3.0, cloud=False)
     for worker in cluster.workers.values():
         worker.unresponsive = True
     cluster.cancel("n0", "req-000001")
-    run_for(cluster, cluster.cancel_s)  # the cluster checks the bound
+    run_for(cluster, cluster.cancel_s)  # the cluster checks `cancel_s`
     assert running_tasks(cluster) == []
 
 
-def test_when_many_seem_unresponsive_the_fault_is_the_controllers_and_none_is_replaced() -> None:
+def test_many_seemingly_unresponsive_machines_are_a_fault_of_the_controllers_and_none_is_deleted() -> None:
     cluster = started_cluster(machines=8)
     for worker in cluster.workers.values():
         worker.unresponsive = True
@@ -114,7 +114,7 @@
     assert sum(name in cluster.cloud.deleted for name in ("vm-000001", "vm-000002")) == 1
 
 
-def test_a_job_that_fails_everywhere_is_the_jobs_fault_and_backs_off() -> None:
+def test_a_job_that_fails_on_all_machines_backs_off_and_no_machine_is_quarantined() -> None:
     cluster = started_cluster(machines=5)
     for worker in cluster.workers.values():
         worker.fails_starts = True
@@ -128,7 +128,7 @@
     assert not any(m.quarantined for m in cluster.nodes["n0"].scheduler.state.machines.values())
 
 
-def test_an_array_that_fails_on_some_machines_and_runs_on_others_is_not_at_fault() -> None:
+def test_an_array_that_fails_on_some_machines_and_runs_on_others_does_not_back_off() -> None:
     cluster = started_cluster(machines=4)
     cluster.submit("n0", cluster.job(1, crew="blue", parts=40, guess_s=60.0))
     run_for(cluster, 8.0, cloud=False)
@@ -144,4 +144,6 @@
         if name in cluster.workers and cluster.workers[name].running():
             cluster.workers[name].finish(cluster.workers[name].running()[0], "error")
     run_for(cluster, 6.0)
-    assert set(faulty) <= set(cluster.cloud.deleted), "twice is enough, as it runs elsewhere"
+    assert set(faulty) <= set(cluster.cloud.deleted), (
+        "two failures suffice, as the job runs on other machines"
+    )
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -1,4 +1,4 @@
-"""Three real controllers under a flood at ten times what the site serves; two of them end and come back."""
+"""Three real controllers under a flood at ten times the served rate; two of them are restarted."""
 
 import random
 import threading
@@ -24,7 +24,7 @@
 PER_S, SECONDS = SERVED_PER_S * 10, 12.0
 
 
-def test_a_flood_at_ten_times_what_is_served_while_the_leader_and_another_controller_end(
+def test_a_flood_at_ten_times_the_served_rate_while_two_controllers_are_killed_and_restarted(
     tmp_path: Path,
 ) -> None:
     rng = random.Random(5)
@@ -32,7 +32,7 @@
     with Site(tmp_path, SCRIPT, MACHINES, teams=TEAMS, state=state) as site:
         for n in range(MACHINES):
             site.fleet.launch(KIND, "north" if n % 2 else "south", True)
-        await_state(lambda: site.leader() is not None, "a leader")
+        await_state(lambda: site.leader() is not None, "a controller is leader")
         users = Users(site, 5)
         flood = threading.Thread(
             target=users.flood, args=(lambda n: make_job(rng, n, PER_S), PER_S, SECONDS, RUN_S), daemon=True
@@ -42,53 +42,60 @@
         def levels() -> list[Any]:
             return [row.value for row in state.history() if row.key == "b/admission"]
 
-        await_state(lambda: len(levels()) >= 2, "the flood is refused in part")
+        await_state(lambda: len(levels()) >= 2, "part of the flood is refused")
         leader = site.leader()
         assert leader is not None
         ended = [leader, next(name for name in site.controllers.fronts if name != leader)]
         for name in ended:
             site.controllers.kill(name)
-        await_state(lambda: site.leader() not in (None, leader), "another leader")
+        await_state(lambda: site.leader() not in (None, leader), "another controller is leader")
         for name in ended:
             site.start(name)
         before = len(levels())
-        await_state(lambda: len(levels()) >= before + 2, "the next leader goes on with levels")
+        await_state(lambda: len(levels()) >= before + 2, "the next leader records admission levels")
         flood.join()
         submissions = list(users.submissions)
-        await_state(lambda: not levels()[-1]["windows"] and not levels()[-1]["accept_rps"], "the end")
+        await_state(
+            lambda: not levels()[-1]["windows"] and not levels()[-1]["accept_rps"],
+            "admission no longer limits submissions",
+        )
         users.close()
         accepted = [s for s in submissions if s.accepted_at is not None]
         names = [s.job["id"] for s in accepted]
 
-        def undone() -> set[str]:
+        def unfinished() -> set[str]:
             done = {event.task_id for event in list(site.fleet.history) if event.what == "done"}
             return {f"{name}/0" for name in names} - done
 
-        await_state(lambda: not undone(), "what was accepted is done")
+        await_state(lambda: not unfinished(), "all accepted jobs are done")
 
         answers, changes = users.all_answers(), state.history()
         flows = {s.job["id"]: flow_of(s.job) for s in submissions}
-        assert any(answer.status == 429 for answer in answers), "it was a flood"
+        assert any(answer.status == 429 for answer in answers), "some submissions were refused with 429"
         assert against_level(changes, flows) == [] and refused_wrongly(changes, answers, flows) == []
         assert chosen_differently([*answers, *accepted_under(changes)]) == []
         history = list(site.fleet.history)
         assert ran_twice(history) == [] and done_again(history) == []
         served = {(s.job["lane"], s.job["crew"]) for s in accepted}
-        assert served == {(s.job["lane"], s.job["crew"]) for s in submissions}, "nobody is starved"
+        assert served == {(s.job["lane"], s.job["crew"]) for s in submissions}, (
+            "every class of every team had submissions accepted"
+        )
         builds = [s for s in submissions if s.job["lane"] == "hot-builds"]
         sweeps = [s for s in submissions if s.job["lane"] == "rebuild-sweep"]
         share = [
             sum(s.accepted_at is not None for s in submitted) / len(submitted)
             for submitted in (builds, sweeps)
         ]
-        assert share[0] > 2 * share[1], "urgent ones go first"
-        begun: dict[str, int] = {}
+        assert share[0] > 2 * share[1], (
+            "the accepted share of urgent jobs is more than twice that of the others"
+        )
+        first_attempts: dict[str, int] = {}
         for event in history:
             if event.what == "running":
-                begun.setdefault(event.task_id.partition("/")[0], event.number)
-        came_together = [
+                first_attempts.setdefault(event.task_id.partition("/")[0], event.number)
+        urgent_accepted_first = [
             (build.job["id"], sweep.job["id"])
             for build, sweep in zip(builds, sweeps, strict=False)
             if build.accepted_at and sweep.accepted_at and build.accepted_at < sweep.accepted_at - 1.0
         ]
-        assert began_too_late(begun, came_together) == []
+        assert began_too_late(first_attempts, urgent_accepted_first) == []
--- a/tests/test_heartbeat_packing.py
+++ b/tests/test_heartbeat_packing.py
@@ -1,4 +1,4 @@
-"""Heartbeats as controllers pass them to each other."""
+"""Encoding of heartbeats that controllers pass to each other."""
 
 import orjson
 import pytest
@@ -12,7 +12,7 @@
 )
 
 
-def test_a_heartbeat_is_the_same_after_packing_for_the_relay() -> None:
+def test_a_heartbeat_is_unchanged_by_packing_and_unpacking() -> None:
     heartbeat = workers.parse_heartbeat(BODY)
     assert mesh.unpack_heartbeat(orjson.loads(orjson.dumps(mesh.pack_heartbeat(heartbeat)))) == heartbeat
 
--- a/tests/test_heartbeats_and_relay.py
+++ b/tests/test_heartbeats_and_relay.py
@@ -1,4 +1,4 @@
-"""What heartbeats prove, also late and replayed ones, and how relays stand in for the leader."""
+"""Evidence in heartbeats, also in late and replayed ones, and relays between workers and the leader."""
 
 from fakes.scenarios import leader_with_unwritten_placements, run_for, running_tasks, started_cluster
 
@@ -41,7 +41,7 @@
     assert running_tasks(cluster) == ["req-000001/0"]
     scheduler = cluster.nodes["n0"].scheduler
     placement = scheduler.state.jobs["req-000001"].open[0]
-    cluster.replay(before, "n0")  # sent when the task was not there yet
+    cluster.replay(before, "n0")  # sent before the task started
     cluster.step()
     assert scheduler.state.jobs["req-000001"].open[0] is placement
     worker.finish("req-000001/0", "error")
@@ -65,7 +65,7 @@
     node = leader_with_unwritten_placements(cluster, leader, parts=1)
     node.commit_loop.commit_once()  # the start is still to be sent
     cluster.cancel(leader, "req-000001")
-    cluster.boot(leader)  # and the next leader has got no heartbeat of the machine yet
+    cluster.boot(leader)  # the next leader has not yet received a heartbeat of the machine
     for _ in range(10):
         cluster.pass_time(0.5)
         cluster.store.process_due()
@@ -98,23 +98,27 @@
     assert machine.relay == ""
 
 
-def test_a_worker_that_lost_the_leader_is_relayed_at_once_a_new_one_when_it_comes_back() -> None:
+def test_a_worker_that_lost_the_leader_is_relayed_at_once_and_a_new_worker_when_it_retries() -> None:
     cluster = started_cluster(machines=1, nodes=2)
     leader = cluster.require_leader()
     other = next(n for n in cluster.nodes if n != leader)
     known = cluster.first_worker()
     fresh = cluster.machine()
     cluster.network_cuts |= {(known.name, leader), (fresh.name, leader)}
-    assert cluster.heartbeat(fresh, other) == 421, "no controller knows it: the leader is the place to go"
+    assert cluster.heartbeat(fresh, other) == 421, (
+        "no controller has a record of it, so it is redirected to the leader"
+    )
     for _ in range(3):
         cluster.step(1.0)
-    assert cluster.heartbeat(fresh, other) == 200, "it came back: the leader is out of its reach"
+    assert cluster.heartbeat(fresh, other) == 200, (
+        "it sent its heartbeat here again, so it can't reach the leader"
+    )
     assert cluster.heartbeat(known, other) == 200, (
         "it has the leader's fencing token, so it has just lost the leader"
     )
     for _ in range(11):
         cluster.step(1.0)
-    assert cluster.heartbeat(known, other) == 421, "after a while it tries the leader again"
+    assert cluster.heartbeat(known, other) == 421, "after a while it is redirected to the leader again"
 
 
 def test_a_relayed_worker_keeps_its_lease_and_gets_its_commands_from_the_records() -> None:
@@ -134,7 +138,7 @@
         cluster.step(1.0)
         cluster.heartbeat(worker, other)
     assert cluster.nodes[leader].scheduler.state.jobs["req-000001"].done, (
-        "the leader has learned it through the store"
+        "the leader has read the end of the task from the store"
     )
     cluster.cancel(other, "req-000001")
     for _ in range(4):
@@ -143,8 +147,9 @@
     assert worker.running() == []
 
 
-def test_a_relay_without_the_store_redirects_workers_to_one_that_has_it() -> None:
-    """It kept them, their heartbeats went nowhere, and the leader deleted a sixth of the fleet as silent."""
+def test_a_relay_without_access_to_the_store_redirects_workers_to_one_with_access() -> None:
+    """Guards against a relay that keeps workers although it can't store their heartbeats: the leader deleted
+    a sixth of the fleet as silent."""
     cluster = started_cluster(machines=1, nodes=3)
     leader = cluster.require_leader()
     worker = cluster.first_worker()
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -1,4 +1,4 @@
-"""Submission, queries, cancellation, and the end of a job."""
+"""Submission, queries, cancellation and the end of jobs."""
 
 import pytest
 from fakes.cluster import Cluster
@@ -44,10 +44,12 @@
     assert cluster.nodes["n1"].submit(cluster.job(2))[0] == 503
 
 
-def test_what_can_never_run_gets_422(cluster: Cluster) -> None:
+def test_a_job_that_can_never_run_gets_422(cluster: Cluster) -> None:
     assert cluster.nodes["n0"].submit(cluster.job(1, crew="green"))[0] == 422
     assert cluster.nodes["n0"].submit(cluster.job(1, cpus=6.0, builds=["small"]))[0] == 422
-    assert cluster.nodes["n0"].submit(cluster.job(1, cpus=3.0, shape="gang", parts=3))[0] == 422, "8 at most"
+    assert cluster.nodes["n0"].submit(cluster.job(1, cpus=3.0, shape="gang", parts=3))[0] == 422, (
+        "the team's limit is 8 CPUs"
+    )
     assert cluster.nodes["n0"].submit(cluster.job(1, cards=1.0, shape="gang", parts=3, crew="blue"))[0] == 422
     assert cluster.nodes["n0"].submit(cluster.job(1, yard="south", cards=1.0, crew="blue"))[0] == 422
 
@@ -64,16 +66,16 @@
 
 
 def test_a_query_waits_for_no_write_and_no_other_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whatever the group commit has to do, or can't do, a query needs one shared read alone."""
+    """A query needs only one shared read, whatever the group commit still has to write or fails to write."""
     cluster = started_cluster(machines=2)
     node = cluster.nodes["n0"]
     for number in range(1, 6):
         cluster.submit("n0", cluster.job(number, parts=300))
 
-    def refused(store: CountingStore, conditions: dict[str, int], puts: list[Put]) -> Outcome:
+    def refuse_write(store: CountingStore, conditions: dict[str, int], puts: list[Put]) -> Outcome:
         raise UnavailableError("429", refused=True)
 
-    monkeypatch.setattr(CountingStore, "compare_and_swap", refused)  # that of every part
+    monkeypatch.setattr(CountingStore, "compare_and_swap", refuse_write)  # for every part of the controller
     node.commit_loop.writes.drain()
     for _ in range(4):
         cluster.pass_time(0.5)
@@ -81,19 +83,19 @@
     assert node.scheduler.has_pending_writes()
     for number in range(1, 6):
         assert cluster.query("n0", f"req-{number:06d}") is not None
-    assert node.submit(cluster.job(9))[0] == 503, "answered at once, with when to come back"
+    assert node.submit(cluster.job(9))[0] == 503, "answered at once, with the time after which to retry"
 
 
 @pytest.mark.parametrize("key", ["b/j/req-000001", "b/log/0"])
-def test_a_value_that_cannot_be_read_is_503_and_never_an_absent_job(
+def test_an_unreadable_value_gets_503_and_does_not_count_as_an_absent_job(
     key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     cluster = started_cluster(machines=4)
     cluster.submit("n0", cluster.job(1, parts=4))
     for _ in range(3):
         cluster.step()
-    whole = dict(cluster.store.rows)
-    cluster.store.rows[key] = ("!!", whole[key][1], None)
+    intact_rows = dict(cluster.store.rows)
+    cluster.store.rows[key] = ("!!", intact_rows[key][1], None)
     node = cluster.boot("n0")
     for _ in range(10):
         cluster.pass_time(1.0)
@@ -102,9 +104,9 @@
     assert node.query("req-000001")[0] == 503
     assert node.submit(cluster.job(1, parts=4))[0] == 503
     assert node.cancel("req-000001")[0] == 503
-    assert not node.scheduler.complete, "no leader starts anything before its state is complete"
+    assert not node.scheduler.complete, "a leader starts nothing before its state is complete"
     assert any(record.levelname == "ERROR" and key in record.message for record in caplog.records)
-    cluster.store.rows = whole
+    cluster.store.rows = intact_rows
     cluster.boot("n0")
     for _ in range(10):
         cluster.step()
@@ -133,14 +135,14 @@
     cluster.step()
     cluster.finish("req-000001/0")
     for worker in cluster.workers.values():
-        cluster.heartbeat(worker)  # the scheduler knows the end, the store does not yet
+        cluster.heartbeat(worker)  # the end of the task has reached the scheduler, but not yet the store
     assert cluster.cancel("n0", "req-000001") == "aborted"
     cluster.step()
     cluster.step()
     assert cluster.query("n0", "req-000001") == "aborted"
 
 
-def test_a_cancellation_while_done_is_being_written_wins() -> None:
+def test_a_cancellation_while_done_is_being_written_takes_precedence() -> None:
     cluster = started_cluster(nodes=2)
     leader = cluster.require_leader()
     node = cluster.nodes[leader]
@@ -161,7 +163,7 @@
 
 
 def test_a_cancelled_placement_is_closed_only_by_a_heartbeat_sent_after_the_cancellation() -> None:
-    """A heartbeat that a cut held back may lack a task that has started since; it proves nothing."""
+    """A heartbeat delayed by a network cut may lack a task that has started since, so it proves nothing."""
     cluster = started_cluster(machines=1)
     worker = cluster.first_worker()
     node = leader_with_unwritten_placements(cluster, parts=1)
@@ -175,17 +177,17 @@
     assert node.scheduler.state.quotas[0].used_cpus == 0.0
 
 
-def test_a_cancelled_task_that_no_worker_confirms_stopped_ends_with_its_machine() -> None:
+def test_a_machine_that_does_not_confirm_the_stop_of_a_cancelled_task_is_deleted() -> None:
     cluster = started_cluster(machines=2)
     cluster.submit("n0", cluster.job(1, parts=1))
     cluster.step()
     cluster.step()
     holder = next(worker for worker in cluster.workers.values() if worker.running())
     cluster.network_cuts.add((holder.name, "n0"))
-    holder.last_answered_at = 1e12  # hangs within its lease, as far as anybody can tell
+    holder.last_answered_at = 1e12  # it hangs: its lease never expires on its own clock
     cluster.cancel("n0", "req-000001")
     for _ in range(30):
-        cluster.step(1.0)  # the rule cancel_s is checked here
+        cluster.step(1.0)  # the cluster checks `cancel_s`
         cluster.cloud_step("n0")
     assert holder.name in cluster.cloud.deleted
 
@@ -204,17 +206,17 @@
     assert running_tasks(cluster) == []
 
 
-def test_a_job_unknown_to_every_worker_keeps_no_capacity_from_others() -> None:
-    """Its submission was executed, the response lost, and its user gave up."""
+def test_a_job_unknown_to_every_worker_does_not_withhold_capacity_from_others() -> None:
+    """The submission was executed, its response was lost, and the user gave up. Workers refuse such a job."""
     cluster = started_cluster(machines=1)
     cluster.cloud.capacity = 0
     cluster.store.loses_next_response_to.add("n0")
     assert cluster.submit("n0", cluster.job(1, parts=4)) == 503
     assert cluster.submit("n0", cluster.job(2, parts=5)) == 201
-    tries = 0
+    attempts = 0
     for _ in range(60):
         run_for(cluster, 1.0)
-        tries += any(
+        attempts += any(
             a.task_id.startswith("req-000001")
             for worker in cluster.workers.values()
             for a in worker.tasks.values()
@@ -222,4 +224,4 @@
         for task_id in running_tasks(cluster)[:1]:
             cluster.finish(task_id)
     assert cluster.query("n0", "req-000002") == "done"
-    assert 2 <= tries <= 12, "it is tried, more and more seldom"
+    assert 2 <= attempts <= 12, "it is attempted with a growing back-off"
--- a/tests/test_leadership_transfer.py
+++ b/tests/test_leadership_transfer.py
@@ -17,12 +17,15 @@
 
 
 def cut_off(cluster: Cluster, node: str) -> None:
-    """No worker reaches this controller any more."""
+    """Cuts the network between all workers and this controller."""
     cluster.network_cuts |= {(name, node) for name in cluster.workers}
 
 
 def busy_cluster(parts: int = 12, machines: int = 3) -> tuple[Cluster, str]:
-    """Three controllers, machines that are full as a rule, and a leader in charge for longer than a lease."""
+    """Returns a cluster of three controllers and the name of its leader, whose term is older than a lease.
+
+    With the default arguments all machines are full.
+    """
     cluster = started_cluster(machines=machines, nodes=3)
     cluster.submit("n0", cluster.job(1, crew="open", parts=parts, guess_s=500.0))
     run_for(cluster, LEASE_S + 4.0, cloud=False)
@@ -43,7 +46,7 @@
     cut_off(cluster, leader)
     run_for(cluster, 30.0)
     new_leader = cluster.leader()
-    assert new_leader not in (None, leader), "without a transfer it kept its lease and used relays"
+    assert new_leader not in (None, leader), "without a transfer the leader kept its lease and used relays"
     assert fencing_token(cluster) == first + 1
     assert not cluster.nodes[leader].scheduler.leader
     assert running_tasks(cluster) == before
@@ -54,27 +57,28 @@
     assert running_tasks(cluster) == []
 
 
-def test_cancelled_starts_on_relayed_machines_delete_no_machine() -> None:
-    """A relay passes on no evidence that closes a cancelled start. While the leader used relays, each
-    machine with such a start was deleted at half of `cancel_s`, with all other work on it."""
+def test_cancelled_starts_on_relayed_machines_cause_no_deletion() -> None:
+    """A relay passes on no evidence that closes a cancelled start. Guards against a leader that keeps using
+    relays: it deleted each machine with such a start at half of `cancel_s`, and with it all other work on the
+    machine."""
     cluster, leader = busy_cluster(parts=2, machines=2)
     cut_off(cluster, leader)
-    run_for(cluster, 8.0)  # the workers have found a relay
+    run_for(cluster, 8.0)  # the workers send their heartbeats to a relay by then
     cluster.submit(leader, cluster.job(2, crew="blue", parts=4, guess_s=500.0))
-    cluster.step_controller(leader)  # placed and durable, not started
+    cluster.step_controller(leader)  # placed and durable, not yet started
     assert cluster.cancel(leader, "req-000002") == "aborted"
     run_for(cluster, cluster.cancel_s + 5.0)
     assert cluster.cloud.deleted == []
     assert running_tasks(cluster) == ["req-000001/0", "req-000001/1"]
 
 
-def test_leadership_moves_at_most_once_a_lease_where_leaders_lose_their_workers_in_turn() -> None:
+def test_leadership_is_transferred_at_most_once_per_lease_when_leaders_are_cut_off_in_turn() -> None:
     cluster, leader = busy_cluster()
     before = running_tasks(cluster)
     first = fencing_token(cluster)
     period_s = 90.0
     for second in range(int(period_s)):
-        if second % 3 == 0:  # the leader loses its workers, the previous one has them back
+        if second % 3 == 0:  # workers are cut off from the leader and reach its predecessor again
             cluster.network_cuts.clear()
             cut_off(cluster, cluster.leader() or leader)
         run_for(cluster, 1.0, cloud=False)
@@ -143,7 +147,7 @@
     first = fencing_token(cluster)
     cut_off(cluster, leader)
     while fencing_token(cluster) == first:
-        cluster.store.loses_next_response_to.add(leader)  # also of other writes: whatever is sent next
+        cluster.store.loses_next_response_to.add(leader)  # the response to any write, whichever is sent next
         run_for(cluster, 0.5)
         assert cluster.clock.now < 1100.0
     cluster.store.loses_next_response_to.clear()
@@ -198,7 +202,7 @@
 def test_the_leaders_failover_neighbour_should_be_in_the_other_zone() -> None:
     zones = {f"n{n}": "east" if n % 2 else "west" for n in range(7)}
     assert [name for name in sorted(zones) if lacks_failover_neighbour(name, zones)] == ["n6"], (
-        "n0 is next, and west too"
+        "its neighbour n0 is also in the zone west"
     )
     assert not any(lacks_failover_neighbour(name, {"n0": "a", "n1": "a"}) for name in ("n0", "n1")), (
         "with one zone it makes no difference"
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""Real controllers, stand-in workers, cloud and state service over loopback sockets."""
+"""Real controllers with stand-ins for workers, cloud and state service, over loopback sockets."""
 
 import math
 from pathlib import Path
@@ -11,24 +11,28 @@
 from standins.workers import Event
 
 ALL_FEATURES = (Path(__file__).parent.parent / "deploy" / "all-parts.star").read_text()
-KEEP_IDLE = "\nkeep_idle_s = 1e6\nsurplus_idle_s = 1e6\ndear_idle_s = 1e6\n"  # however slow this machine is
+# Keeps idle machines, however slow the test runs.
+KEEP_IDLE = "\nkeep_idle_s = 1e6\nsurplus_idle_s = 1e6\ndear_idle_s = 1e6\n"
 MACHINES = 20
 JOBS = 10
-TASKS = 4  # of each job, so that a quarter of the fleet is used
+TASKS = 4  # per job; the jobs then use a quarter of the fleet
 IMAGES = ["img-0", "img-1", "img-2"]
 
 
-def test_a_burst_whose_images_lie_on_three_machines_is_spread_and_ends_once(tmp_path: Path) -> None:
+def test_a_burst_of_jobs_whose_images_are_on_three_machines_is_spread_and_each_task_is_done_once(
+    tmp_path: Path,
+) -> None:
     with Site(tmp_path, ALL_FEATURES + KEEP_IDLE, MACHINES) as site:
         for n in range(MACHINES):
             images = (IMAGES[n],) if n < len(IMAGES) else ()
             site.fleet.launch(KIND, "north" if n % 2 else "south", True, images)
-        # A first job of each image, so that the controllers learn where it lies.
+        # One job for each image first, so that the controllers learn which machine has the image.
         for n, image in enumerate(IMAGES):
             site.submit(job(900 + n, image, 1), run_s=0.2)
-        firsts = [f"req-{900 + n:06d}" for n in range(len(IMAGES))]
+        first_jobs = [f"req-{900 + n:06d}" for n in range(len(IMAGES))]
         await_state(
-            lambda: all(set(site.phases(name).values()) == {"done"} for name in firsts), "the first jobs"
+            lambda: all(set(site.phases(name).values()) == {"done"} for name in first_jobs),
+            "the first jobs are done",
         )
         names = [f"req-{n:06d}" for n in range(JOBS)]
         for n in range(JOBS):
@@ -47,11 +51,13 @@
         leader = site.leader()
         assert leader is not None
         site.controllers.kill(leader)
-        await_state(lambda: site.leader() not in (None, leader), "another leader")
+        await_state(lambda: site.leader() not in (None, leader), "another controller is leader")
         site.start(leader)
         for name in names:
             site.fleet.run_s[name] = 0.0
-        await_state(lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "the end")
+        await_state(
+            lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "all jobs are done"
+        )
         history = list(site.fleet.history)
         assert not_done_once(history, [f"{name}/{task}" for name in names for task in range(TASKS)]) == []
         assert ran_twice(history) == []
@@ -71,14 +77,15 @@
     ("history", "twice", "not_once", "order"),
     [
         ([A, A_LOST, B, B_DONE, LATER], [], [], []),
-        ([A, B, A_LOST, B_DONE, LATER], ["req-1/0"], [], []),  # a second attempt beside the first
-        ([A, A_DONE, B, B_DONE, LATER], [], ["req-1/0"], []),  # two ends
-        ([A, A_LOST, B, LATER], [], ["req-1/0"], []),  # no end
-        ([A, A_LOST, Event("req-2/0", 1, "vm-2", "running"), B, B_DONE], [], [], ["req-2"]),  # too early
-        ([A, A_DONE, LATER], [], [], ["req-2"]),  # the first never came back there
+        ([A, B, A_LOST, B_DONE, LATER], ["req-1/0"], [], []),  # a second attempt starts while the first runs
+        ([A, A_DONE, B, B_DONE, LATER], [], ["req-1/0"], []),  # the task is done twice
+        ([A, A_LOST, B, LATER], [], ["req-1/0"], []),  # the task is never done
+        # req-2 starts on vm-2 before req-1.
+        ([A, A_LOST, Event("req-2/0", 1, "vm-2", "running"), B, B_DONE], [], [], ["req-2"]),
+        ([A, A_DONE, LATER], [], [], ["req-2"]),  # req-1 never starts on vm-2
     ],
 )
-def test_the_checks_of_histories_find_what_is_wrong(
+def test_the_history_checks_report_violations(
     history: list[Event], twice: list[str], not_once: list[str], order: list[str]
 ) -> None:
     assert ran_twice(history) == twice
@@ -96,18 +103,20 @@
         ({}, ["req-1"]),
     ],
 )
-def test_the_check_of_answers_finds_what_is_wrong(phases: dict[str, str | None], wrong: list[str]) -> None:
+def test_the_answer_check_reports_jobs_without_one_common_answer(
+    phases: dict[str, str | None], wrong: list[str]
+) -> None:
     assert without_one_answer({"req-1": phases}, "done") == wrong
 
 
-RECOVER = (
+RECOVERY_SCRIPT = (
     'recovery = True\nextra_classes = ["rebuild-sweep"]\nreturn_order = ["hot-builds", "rebuild-sweep"]\n'
 )
 
 
-def test_a_zone_that_is_cut_away_flaps_and_returns_has_one_answer_for_each_job(tmp_path: Path) -> None:
-    """Its leader ends meanwhile; jobs bound to the zone come back in the stated order."""
-    with Site(tmp_path, RECOVER + KEEP_IDLE, 12, lease_s=6.0) as site:
+def test_jobs_have_one_final_answer_after_a_zone_is_cut_off_flaps_and_returns(tmp_path: Path) -> None:
+    """The leader is killed meanwhile; jobs bound to the zone restart in the order of `return_order`."""
+    with Site(tmp_path, RECOVERY_SCRIPT + KEEP_IDLE, 12, lease_s=6.0) as site:
         for n in range(12):
             site.fleet.launch(KIND, "south" if n % 2 else "north", True)
 
@@ -119,7 +128,7 @@
             return decode(found).state if found is not None else "up"
 
         site.submit(job(0, "img-0", 48, "mirror-trickle"), run_s=math.inf)
-        await_state(lambda: sum(site.fleet.loads().values()) == 6.0, "all tasks are there")
+        await_state(lambda: sum(site.fleet.loads().values()) == 6.0, "all tasks run")
         site.fleet.cut_zone("south", away=True)
         await_state(lambda: state() == "lost", "the loss is recorded")
         bound = {"yard": "south", "rank": "normal"}
@@ -128,7 +137,7 @@
         leader = site.leader()
         assert leader is not None
         site.controllers.kill(leader)
-        await_state(lambda: site.leader() not in (None, leader), "another leader")
+        await_state(lambda: site.leader() not in (None, leader), "another controller is leader")
         site.start(leader)
         for away in (False, True, False):  # it flaps
             site.fleet.cut_zone("south", away)
@@ -145,7 +154,9 @@
         assert out_of_order(site.fleet.history, south(), [names[3], names[2], names[1]]) == []
         for name in names:
             site.fleet.run_s[name] = 0.0
-        await_state(lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "the end")
+        await_state(
+            lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "all jobs are done"
+        )
         history = list(site.fleet.history)
         assert ran_twice(history) == [] and not_done_once(history, tasks) == []
         assert without_one_answer({name: site.phases(name) for name in names}, "done") == []
--- a/tests/test_random_concurrent_faults.py
+++ b/tests/test_random_concurrent_faults.py
@@ -1,4 +1,4 @@
-"""Two or three faults at the same time, drawn by a seed; the simulated cluster checks the rules."""
+"""Two or three faults at the same time, drawn from a seed; the simulated cluster checks the rules."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 from bayford.scheduling.policy import Policy
 
-# Drawn from by position: the order is part of what a seed stands for.
+# Faults are drawn by their position, so another order changes which faults a seed produces.
 STORE_FAULTS = ("refused", "outage", "gap", "unanswered", "lagging", "blind")
 CONTROLLER_FAULTS = ("isolated", "peers", "ends", "all end", "frozen")
 WORKER_FAULTS = ("cut", "copies", "slow", "unresponsive", "cannot_send", "hung")
@@ -17,7 +17,7 @@
 
 
 def begin_fault(cluster: Cluster, fault: str) -> None:
-    """Begin one fault, on machines and controllers drawn by the cluster's seed."""
+    """Starts one fault on machines and controllers drawn from the cluster's seed."""
     rng = cluster.rng
     node = rng.choice(sorted(cluster.nodes))
     leader = cluster.leader() or node
@@ -31,7 +31,7 @@
 
 
 def begin_store_fault(cluster: Cluster, fault: str, leader: str, node: str) -> None:
-    """The key-value store fails for the leader, for `node`, or for all."""
+    """Makes the key-value store fail for the leader, for `node`, or for all controllers."""
     rng = cluster.rng
     if fault == "refused":
         cluster.store.unavailable_to.add(leader)
@@ -53,7 +53,7 @@
 
 
 def begin_controller_fault(cluster: Cluster, fault: str, leader: str, node: str) -> None:
-    """A controller is isolated, ends or stands still."""
+    """Isolates, kills or pauses a controller, or kills all controllers."""
     rng = cluster.rng
     if fault == "isolated":
         cluster.store.unreachable_from.add(leader)
@@ -74,7 +74,7 @@
 
 
 def begin_worker_fault(cluster: Cluster, fault: str, leader: str, affected: list[str]) -> None:
-    """Heartbeats are lost, late or repeated, or the affected workers fail."""
+    """Drops, delays or repeats heartbeats, or makes the affected workers fail."""
     rng = cluster.rng
     if fault == "cut":
         cluster.network_cuts |= {
@@ -92,7 +92,7 @@
             setattr(cluster.workers[name], fault, True)
 
 
-EAGER_MIGRATION = Policy(  # migrates whatever it may, as soon as it may
+EAGER_MIGRATION = Policy(  # migrates every task that may be migrated, as early as possible
     hold_s=0.0,
     hold_idle_s=0.0,
     spread=True,
@@ -137,8 +137,8 @@
             if known and rng.random() < 0.4:
                 cluster.cancel(rng.choice(sorted(cluster.nodes)), rng.choice(known))
             if known and rng.random() < 0.4:
-                asked = int(rng.choice(known)[4:])
-                cluster.query_everywhere(asked, **fields[asked])
+                queried = int(rng.choice(known)[4:])
+                cluster.query_everywhere(queried, **fields[queried])
             for task_id in running_tasks(cluster):
                 if rng.random() < 0.05:
                     cluster.finish(task_id)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults and user requests in a seeded order; the cluster checks every rule."""
+"""Random faults and user requests in an order drawn from a seed; the simulated cluster checks every rule."""
 
 import pytest
 from fakes.cluster import Cluster
@@ -9,13 +9,14 @@
 
 
 class RandomFaults:
-    """Plays one event after the other; each of the methods below returns whether the event was its.
+    """Plays a sequence of random events on a simulated cluster.
 
-    An event is a number between 0 and 1. One whose condition does not hold falls to the next in the list.
+    An event is a number between 0 and 1. Each of the methods below handles one range of numbers and
+    returns whether it handled the event. An event whose condition does not hold goes to the next branch.
     """
 
     def __init__(self, seed: int, upgrade: bool) -> None:
-        """With `upgrade`, all controllers are old at first and a third of the jobs are services."""
+        """With `upgrade`, all controllers start with the old release and a third of the jobs are services."""
         self.upgrade = upgrade
         self.cluster = Cluster(
             3,
@@ -43,7 +44,7 @@
                 or self.network_or_cloud_fault(event, node)
                 or self.task_or_worker_event(event, node)
                 or self.controller_fault(event, node, names)
-                or self.late_event(event, node, names)
+                or self.mass_outage_or_query(event, node, names)
             ):
                 self.cluster.step(self.rng.choice([0.2, 0.5, 1.0, 3.0]))
                 for worker in list(self.cluster.workers.values()):
@@ -52,7 +53,7 @@
             self.cluster.check()
 
     def upgrade_step(self, step: int) -> None:
-        """Each controller comes back with the new release at some moment; the limits fall after that."""
+        """Restarts the controllers one by one with the new release, then lowers the store's limits."""
         cluster = self.cluster
         if step in (60, 110, 170):
             cluster.old_release.discard(f"n{step % 3}" if step != 170 else min(cluster.old_release))
@@ -152,7 +153,7 @@
             cluster.store.unreachable_from ^= {node}
             cluster.mesh_cuts ^= {node}
         elif event < 0.79:
-            cluster.boot(node)  # and again within the same instant, perhaps amid an election
+            cluster.boot(node)  # restarted again at the same time, perhaps during an election
             cluster.boot(rng.choice(names))
         elif event < 0.80:
             cluster.paused ^= {node}
@@ -160,15 +161,15 @@
             return False
         return True
 
-    def late_event(self, event: float, node: str, names: list[str]) -> bool:
+    def mass_outage_or_query(self, event: float, node: str, names: list[str]) -> bool:
         cluster, rng = self.cluster, self.rng
         if event < 0.81 and cluster.workers:
-            # Many at once: they fall silent together, and come back together or not at all.
-            many = rng.sample(sorted(cluster.workers), (len(cluster.workers) + 1) // 2)
+            # Half of the workers become silent together; or a quarter is removed and all network cuts end.
+            sampled = rng.sample(sorted(cluster.workers), (len(cluster.workers) + 1) // 2)
             if rng.random() < 0.5:
-                cluster.network_cuts |= {(name, other) for name in many for other in names}
+                cluster.network_cuts |= {(name, other) for name in sampled for other in names}
             else:
-                for name in many[: len(many) // 2]:
+                for name in sampled[: len(sampled) // 2]:
                     cluster.workers.pop(name)
                 cluster.network_cuts.clear()
         elif event < 0.83 and cluster.accepted:
@@ -190,8 +191,8 @@
         cluster.network_cuts.clear()
         cluster.cloud.deletes_lost = False
 
-    def run_until_all_ends(self) -> None:
-        """Long enough for all tasks to end, but those of services."""
+    def run_until_tasks_end(self) -> None:
+        """Runs long enough for all tasks to end, except those of services."""
         cluster = self.cluster
         for _ in range(250):
             cluster.step(1.0)
@@ -204,7 +205,7 @@
 
 @pytest.mark.parametrize(("seed", "upgrade"), [(s, False) for s in range(6)] + [(s, True) for s in range(8)])
 def test_random_faults_break_no_rule(seed: int, upgrade: bool) -> None:
-    """Crashes, cuts, lost responses, outages and users in a seeded order; the cluster checks every rule."""
+    """Crashes, network cuts, lost responses, outages and user requests in an order drawn from the seed."""
     faults = RandomFaults(seed, upgrade)
     cluster = faults.cluster
     faults.play()
@@ -214,24 +215,27 @@
     for name in cluster.nodes:
         for job_id in sorted(cluster.accepted):
             assert cluster.query(name, job_id) is not None, (
-                f"{job_id} is not answered 10 s after all troubles"
+                f"{job_id} has no answer 10 s after all faults have ended"
             )
-    faults.run_until_all_ends()
+    faults.run_until_tasks_end()
     # A cancellation may have been executed although its user got no response.
     services = [job_id for job_id in faults.services if job_id in cluster.accepted]
-    standing = sorted(job_id for job_id in services if cluster.query("n0", job_id) != "aborted")
-    for job_id in sorted(cluster.accepted - {*standing}):
+    active_services = sorted(job_id for job_id in services if cluster.query("n0", job_id) != "aborted")
+    for job_id in sorted(cluster.accepted - {*active_services}):
         assert cluster.query("n0", job_id) in ("done", "aborted"), f"{job_id} never ended"
-    # Services that stand get what their teams' limits of 8 and 16 CPUs allow, and never more or twice.
+    # Services that are not cancelled run as many replicas as their teams' limits of 8 and 16 CPUs
+    # allow, never more, and no replica twice.
     used = {
-        team: sum(cluster.specs[job_id].tasks for job_id in standing if cluster.specs[job_id].team == team)
+        team: sum(
+            cluster.specs[job_id].tasks for job_id in active_services if cluster.specs[job_id].team == team
+        )
         for team in ("red", "blue")
     }
-    replicas = [task_id for task_id in running_tasks(cluster) if task_id.split("/")[0] in standing]
+    replicas = [task_id for task_id in running_tasks(cluster) if task_id.split("/")[0] in active_services]
     assert len(replicas) == len(set(replicas)) == min(8, used["red"]) + min(16, used["blue"]), (
-        f"{replicas} of {standing}"
+        f"{replicas} of {active_services}"
     )
-    for job_id in standing:
+    for job_id in active_services:
         assert cluster.cancel("n0", job_id) == "aborted"
     for _ in range(10):
         cluster.step(1.0)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -14,7 +14,7 @@
 
 
 def exchange(port: int, raw: bytes) -> bytes:
-    """All that the server sends in answer to these bytes, after which nothing more is sent to it."""
+    """Sends these bytes, closes the sending side and returns all that the server answers."""
     with socket.create_connection(("127.0.0.1", port), timeout=5) as sock:
         sock.sendall(raw)
         sock.shutdown(socket.SHUT_WR)
@@ -35,7 +35,7 @@
             waiting = [limit.enter() for _ in range(limit.limit)]
             assert all(entry.__enter__() for entry in waiting)
             with limit.enter() as entered:
-                assert not entered, "over the limit: refused at once"
+                assert not entered, "a request over the limit is refused at once"
             now[0] += seconds
             for entry in waiting:
                 entry.__exit__(None, None, None)
@@ -70,8 +70,9 @@
     assert threading.active_count() < 20
 
 
-def test_under_load_users_do_not_keep_connections_and_stale_ones_of_workers_close_soon() -> None:
-    """Kept for 40 s, the connections from before a partition hindered a fleet that came back."""
+def test_under_load_user_connections_close_and_idle_worker_connections_close_before_the_lease() -> None:
+    """Guards against keeping connections from before a partition for 40 s: they hindered the workers that
+    reconnected after it."""
     cluster = Cluster()
     handler = UserHandler(cluster.nodes["n0"], ConcurrencyLimit())
     server = HttpServer("127.0.0.1", 0, handler.handle, 4, "test")
@@ -87,11 +88,11 @@
 
     with connect() as first, connect() as second, connect() as third:
         for sock in (first, second, third):
-            assert b"Connection: close" not in answer(sock), "few connections, so this one is kept"
+            assert b"Connection: close" not in answer(sock), "few connections are open, so this one is kept"
         with connect() as fourth:
             assert b"Connection: close" in answer(fourth)
             assert fourth.recv(1) == b""
-        assert b"Connection: close" not in answer(first), "few connections again"
+        assert b"Connection: close" not in answer(first), "few connections are open again"
     facts = cluster.settings("n0").facts.workers
     heartbeat = orjson.dumps(
         {
