--- a/bayford/recovery/zone_record.py
+++ b/bayford/recovery/zone_record.py
@@ -120,7 +120,7 @@
     try:
         record = msgspec.convert(value, ZoneRecord)
     except msgspec.ValidationError as error:
-        raise UnreadableRecordError(f"zone record is malformed: {error}") from error
+        raise UnreadableRecordError(f"not a zone's record: {error}") from error
     if record.form != VERSION:
-        raise UnreadableRecordError(f"zone record has unsupported version {record.form}")
+        raise UnreadableRecordError(f"a zone's record of version {record.form}")
     return record
