--- a/bayford/admission/control.py
+++ b/bayford/admission/control.py
@@ -39,14 +39,14 @@
     demand: Mapping[Flow, float]  # rate of new jobs
     accepted: Mapping[Flow, float]  # rate of accepted jobs
     capacity: float  # acceptances that the task log allows at present
-    kept_up: float  # acceptances that can be sustained; a higher rate is overload
+    sustainable_rps: float  # acceptances that can be sustained; a higher rate is overload
     guarantees: Mapping[str, float]  # acceptances guaranteed to each team
     over_guarantee: frozenset[str] = frozenset()  # teams whose open jobs exceed their guaranteed CPUs
     # By priority, the seconds that the whole fleet needs for the work of this and all higher priorities;
     # empty while the fleet can still grow.
     backlog_s: Mapping[int, float] = field(default_factory=dict)
 
-    def exempt(self) -> list[str]:
+    def exempt_teams(self) -> list[str]:
         """Returns the teams within their guarantee, whose jobs are never refused. Recomputed at each call."""
         demand_by_team: dict[str, float] = {}
         for flow, rate in self.demand.items():
@@ -123,7 +123,7 @@
         The limits are lower while jobs are already refused (hysteresis).
         """
         ratio = self._times.leave if refusing else self._times.enter
-        if sum(load.demand.values()) > ratio * load.kept_up:
+        if sum(load.demand.values()) > ratio * load.sustainable_rps:
             return SUBMISSIONS
         limit_s = self._times.backlog_s * (self._times.leave if refusing else 1.0)
         return BACKLOG if any(seconds > limit_s for seconds in load.backlog_s.values()) else ""
@@ -145,7 +145,7 @@
         """Returns the next level, with window widths computed from the load."""
         self._published_at = now
         self._update_correction(load)
-        exempt = load.exempt()
+        exempt = load.exempt_teams()
         rates = Allotment(load.capacity, load.demand, load.guarantees, self._times.floors).divide(exempt)
         self._limit_backlog(rates, load, frozenset(exempt))
         windows = tuple(
--- a/bayford/coordination/leader/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -138,7 +138,7 @@
             demand=self._demand.rates(now),
             accepted=self._accepted.rates(now),
             capacity=self._capacity.per_s,
-            kept_up=kept_up,
+            sustainable_rps=kept_up,
             guarantees={team: kept_up * share for team, share in self._guarantee_shares.items()},
             over_guarantee=workload.over_guarantee,
             backlog_s=workload.backlog_s,
