--- a/bayford/admission/control.py
+++ b/bayford/admission/control.py
@@ -63,9 +63,9 @@
 
     def __init__(self, times: AdmissionTimes) -> None:
         self._times = times
-        self.begin(0.0)
+        self.begin_term(0.0)
 
-    def begin(self, now: float) -> None:
+    def begin_term(self, now: float) -> None:
         """Reset all state for a new term, in which nothing has been measured yet."""
         self._term_began_at = now
         self._published_at = now - self._times.interval_s
@@ -74,7 +74,7 @@
         self._correction = 1.0
         self._allotted_rates: dict[Flow, float] = {}
 
-    def not_published(self) -> None:
+    def mark_not_published(self) -> None:
         """Record that the write of the last level failed or has an unknown outcome.
 
         The next level is then due at once.
--- a/bayford/coordination/leader/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -54,7 +54,7 @@
 
     def _start_term(self, now: float) -> None:
         """Starts a term and discards all measurements of earlier terms."""
-        self._level_control.begin(now)
+        self._level_control.begin_term(now)
         self._capacity = AcceptanceCapacity(
             self._accept_share * self._limits.write_rps, self._limits.write_rps
         )
@@ -120,7 +120,7 @@
     def not_written(self) -> None:
         """Makes the next level due at once, after a write that failed or whose outcome is unknown."""
         with self._lock:
-            self._level_control.not_published()
+            self._level_control.mark_not_published()
 
     def _update_capacity(self, refusing: bool, task_log: TaskLogFacts, now: float) -> None:
         if now - self._capacity_updated_at < self._times.interval_s:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -253,7 +253,7 @@
     simulation.run(20, {SWEEP: 50.0})
     before = simulation.level
     simulation.control = LevelControl(TIMES)
-    simulation.control.begin(simulation.now)
+    simulation.control.begin_term(simulation.now)
     simulation.run(9, {})
     assert simulation.level.number > before.number
     assert simulation.level.windows[0].width == before.windows[0].width
