--- a/bayford/admission/load.py
+++ b/bayford/admission/load.py
@@ -54,15 +54,18 @@
     each of the two has its own part of the write rate.
     """
 
-    def __init__(self, kept_up: float, write_rps: float) -> None:
-        """`kept_up`: sustainable acceptances per second. `write_rps`: all writes per second."""
-        self.kept_up = kept_up
-        self.per_s = MAX_CAPACITY * kept_up
+    def __init__(self, sustainable_rps: float, write_rps: float) -> None:
+        """`sustainable_rps`: sustainable acceptances per second. `write_rps`: all writes per second."""
+        self.sustainable_rps = sustainable_rps
+        self.acceptances_per_s = MAX_CAPACITY * sustainable_rps
         self._write_rps = write_rps
 
     def task_log_rps(self) -> float:
         """Returns the writes per second that are left to the task log while jobs are refused."""
-        return max(MIN_TASK_LOG_SHARE * self._write_rps, (1.0 - SPARE_SHARE) * self._write_rps - self.per_s)
+        return max(
+            MIN_TASK_LOG_SHARE * self._write_rps,
+            (1.0 - SPARE_SHARE) * self._write_rps - self.acceptances_per_s,
+        )
 
     def update(self, refusing: bool, refused: int, lag_s: float) -> None:
         """Adapt the capacity. Called once per interval.
@@ -72,8 +75,12 @@
         capacity limits nothing, so `refused` and `lag_s` are no measure of it and are ignored.
         """
         if not refusing:
-            self.per_s = MAX_CAPACITY * self.kept_up
+            self.acceptances_per_s = MAX_CAPACITY * self.sustainable_rps
         elif refused > MAX_IGNORED_REFUSALS or lag_s > MAX_LAG_S:
-            self.per_s = max(MIN_CAPACITY * self.kept_up, self.per_s * DECREASE)
+            self.acceptances_per_s = max(
+                MIN_CAPACITY * self.sustainable_rps, self.acceptances_per_s * DECREASE
+            )
         else:
-            self.per_s = min(MAX_CAPACITY * self.kept_up, self.per_s + INCREASE * self.kept_up)
+            self.acceptances_per_s = min(
+                MAX_CAPACITY * self.sustainable_rps, self.acceptances_per_s + INCREASE * self.sustainable_rps
+            )
--- a/bayford/coordination/leader/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -131,13 +131,13 @@
         self._capacity.update(refusing, refused, task_log.lag_s)
 
     def _measure_load(self, workload: WorkloadFacts, now: float) -> Load:
-        kept_up = self._capacity.kept_up
+        kept_up = self._capacity.sustainable_rps
         return Load(
             # Demand is not measured by acceptances: after an overload these include jobs that were first
             # submitted long before.
             demand=self._demand.rates(now),
             accepted=self._accepted.rates(now),
-            capacity=self._capacity.per_s,
+            capacity=self._capacity.acceptances_per_s,
             sustainable_rps=kept_up,
             guarantees={team: kept_up * share for team, share in self._guarantee_shares.items()},
             over_guarantee=workload.over_guarantee,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -326,15 +326,15 @@
     capacity = AcceptanceCapacity(4.0, 12.0)
     for _ in range(50):
         capacity.update(True, refused=2, lag_s=0.0)
-    assert capacity.per_s == pytest.approx(1.0)
+    assert capacity.acceptances_per_s == pytest.approx(1.0)
     for _ in range(100):
         capacity.update(True, 0, 0.0)
-    assert capacity.per_s == pytest.approx(7.2)
+    assert capacity.acceptances_per_s == pytest.approx(7.2)
     assert capacity.task_log_rps() == pytest.approx(3.84)
     capacity.update(True, 0, lag_s=99.0)
-    assert capacity.per_s < 7.2 and capacity.task_log_rps() > 3.84, "the task log is far behind"
+    assert capacity.acceptances_per_s < 7.2 and capacity.task_log_rps() > 3.84, "the task log is far behind"
     capacity.update(False, 5, 99.0)
-    assert capacity.per_s == pytest.approx(7.2), (
+    assert capacity.acceptances_per_s == pytest.approx(7.2), (
         "while the level refuses no jobs, refused writes do not lower the estimate"
     )
 
