--- a/bayford/admission/load.py
+++ b/bayford/admission/load.py
@@ -23,7 +23,7 @@
         self._events: deque[tuple[float, EventKey, int]] = deque()
         self._counts: dict[EventKey, int] = {}
 
-    def note(self, key: EventKey, now: float, count: int = 1) -> None:
+    def add(self, key: EventKey, now: float, count: int = 1) -> None:
         """Add `count` events of the key at the time `now`."""
         if count <= 0:
             return
--- a/bayford/coordination/leader/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -69,7 +69,7 @@
         May be called by any thread, also under the lock of the leader's state.
         """
         with self._lock:
-            self._accepted.note(flow, now)
+            self._accepted.add(flow, now)
 
     def note_submitted(self, controller: str, sample: Sample, now: float) -> None:
         """Adds a controller's sample of the jobs submitted to it."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -320,7 +320,7 @@
 def test_rates_and_the_capacity_for_acceptances() -> None:
     rates: Rates[str] = Rates(10.0)
     for second in range(20):
-        rates.note("a", float(second), 3)
+        rates.add("a", float(second), 3)
     assert rates.rates(19.0) == {"a": 3.0}
     assert rates.rates(40.0) == {}
     capacity = AcceptanceCapacity(4.0, 12.0)
