--- a/bayford/admission/distinct.py
+++ b/bayford/admission/distinct.py
@@ -52,7 +52,7 @@
         self._threshold = HASHES
         self._submissions: dict[int, _Submission] = {}  # by job hash, in order of time
 
-    def note(self, flow: Flow, job_id: str, now: float) -> None:
+    def record_submission(self, flow: Flow, job_id: str, now: float) -> None:
         """Record a submission of a job, whether the first or a repeated one."""
         key = hash_of(job_id)
         if key >= self._threshold or key in self._submissions:
@@ -70,7 +70,7 @@
         if self._threshold < HASHES and len(self._submissions) < MIN_SAMPLED:
             self._threshold *= 2
 
-    def recent(self, now: float) -> Sample:
+    def recent_sample(self, now: float) -> Sample:
         """Returns the sample to report to the leader."""
         jobs = {
             key: first.flow
--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -87,7 +87,7 @@
         """Decide on a valid submission of a job that is not in the watch cache, which was just refreshed."""
         flow = self.flow(spec)
         with self._lock:
-            self._submitted.note(flow, spec.id, self._clock())
+            self._submitted.record_submission(flow, spec.id, self._clock())
         view = self.view()
         conditions = {records.ADMISSION: view.version}
         level = view.in_force
@@ -142,7 +142,7 @@
     def submitted(self) -> Sample:
         """Returns a sample of the jobs recently submitted to this controller, for the leader."""
         with self._lock:
-            return self._submitted.recent(self._clock())
+            return self._submitted.recent_sample(self._clock())
 
     def refused(self) -> int:
         """Returns how many submissions the level has refused since this controller started."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -302,18 +302,18 @@
     for second in range(100):
         now = float(second)
         for n in range(40):  # new jobs, and jobs of the last half minute again at any controller
-            nodes[rng.choice(list(nodes))].note(SWEEP, f"req-{second}-{n}", now)
+            nodes[rng.choice(list(nodes))].record_submission(SWEEP, f"req-{second}-{n}", now)
         for _ in range(200):
             again = f"req-{max(0, second - rng.randrange(30))}-{rng.randrange(40)}"
-            nodes[rng.choice(list(nodes))].note(SWEEP, again, now)
+            nodes[rng.choice(list(nodes))].record_submission(SWEEP, again, now)
         for name, node in nodes.items():
-            sample = node.recent(now)
+            sample = node.recent_sample(now)
             assert len(sample.jobs) <= MAX_SAMPLED
             demand.merge(name, decode_sample(encode_sample(sample)), now)
     assert 30 < demand.rates(99.0)[SWEEP] < 50
     assert demand.rates(150.0) == {}
     other = DistinctDemand(10.0)
-    other.merge("n0", nodes["n0"].recent(99.0), 99.0)
+    other.merge("n0", nodes["n0"].recent_sample(99.0), 99.0)
     assert other.rates(99.0) == {}, "a new leader counts no old job as new"
 
 
