--- a/bayford/admission/features.py
+++ b/bayford/admission/features.py
@@ -14,12 +14,12 @@
 ADMISSION = "admission"
 
 
-def value(incarnation: str, names: Iterable[str]) -> Any:
+def encode(incarnation: str, names: Iterable[str]) -> Any:
     """Returns the value that a controller stores: its process (`incarnation`) and its features (`names`)."""
     return {"member": incarnation, "features": sorted(names)}
 
 
-def lacking(members: Iterable[Row], features: Iterable[Row]) -> list[str]:
+def controllers_without_admission(members: Iterable[Row], features: Iterable[Row]) -> list[str]:
     """Returns the live controllers that don't announce the admission feature, sorted by name.
 
     `members` and `features` must be of the same revision.
--- a/bayford/cli.py
+++ b/bayford/cli.py
@@ -107,7 +107,7 @@
     except UnreadableLevelError as error:
         _print_error(f"{levels[0].key}: {error}; everything is admitted")
         return EXIT_UNREADABLE
-    lacking = features.lacking(members, announced)
+    lacking = features.controllers_without_admission(members, announced)
     print(level_report.as_json(level, lacking) if as_json else level_report.as_text(level, lacking))
     return 0
 
--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -123,7 +123,7 @@
         row, (members, stated_features) = self._watch_cache.read_together(
             records.ADMISSION, (records.MEMBERS, records.FEATURES)
         )
-        lacking = tuple(features.lacking(members, stated_features))
+        lacking = tuple(features.controllers_without_admission(members, stated_features))
         level = None if row is None else self._decode(row)
         if lacking != self._lacking:
             self._lacking = lacking
--- a/bayford/coordination/leadership/membership.py
+++ b/bayford/coordination/leadership/membership.py
@@ -263,7 +263,7 @@
         """
         if not self._features:
             return []
-        value = features.value(self.incarnation, self._features)
+        value = features.encode(self.incarnation, self._features)
         return [Put(records.FEATURES + self.name, value, lease)]
 
     def _is_announced(self) -> bool:
@@ -273,7 +273,7 @@
         if not self._features:
             return True
         row = self._watch_cache.get(records.FEATURES + self.name)
-        return row is not None and row.value == features.value(self.incarnation, self._features)
+        return row is not None and row.value == features.encode(self.incarnation, self._features)
 
     # -- changes of the leader -------------------------------------------------------------------------
 
--- a/standins/admission_history.py
+++ b/standins/admission_history.py
@@ -40,7 +40,11 @@
     def level_in_force(self) -> Level | None:
         members = [row for key, row in self.rows.items() if key.startswith(records.MEMBERS)]
         stored_features = [row for key, row in self.rows.items() if key.startswith(records.FEATURES)]
-        return None if features.lacking(members, stored_features) else _decoded_level(self.level)
+        return (
+            None
+            if features.controllers_without_admission(members, stored_features)
+            else _decoded_level(self.level)
+        )
 
 
 def _decoded_level(value: Any) -> Level | None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -281,18 +281,18 @@
 def test_a_level_counts_only_if_every_live_controller_has_the_feature() -> None:
     members = [Row(records.MEMBERS + name, f"i-{name}", 1) for name in ("n0", "n1")]
     stored_features = {
-        name: Row(records.FEATURES + name, features.value(f"i-{name}", ["admission"]), 1)
+        name: Row(records.FEATURES + name, features.encode(f"i-{name}", ["admission"]), 1)
         for name in ("n0", "n1")
     }
-    assert features.lacking(members, stored_features.values()) == []
-    assert features.lacking(members, [stored_features["n0"]]) == ["n1"]
-    outdated = Row(records.FEATURES + "n1", features.value("i-before", ["admission"]), 1)
-    assert features.lacking(members, [stored_features["n0"], outdated]) == ["n1"], (
+    assert features.controllers_without_admission(members, stored_features.values()) == []
+    assert features.controllers_without_admission(members, [stored_features["n0"]]) == ["n1"]
+    outdated = Row(records.FEATURES + "n1", features.encode("i-before", ["admission"]), 1)
+    assert features.controllers_without_admission(members, [stored_features["n0"], outdated]) == ["n1"], (
         "the features of an ended process do not count"
     )
-    assert features.lacking(members, [stored_features["n0"], Row(records.FEATURES + "n1", ["odd"], 1)]) == [
-        "n1"
-    ]
+    assert features.controllers_without_admission(
+        members, [stored_features["n0"], Row(records.FEATURES + "n1", ["odd"], 1)]
+    ) == ["n1"]
 
 
 def test_jobs_are_counted_once_wherever_their_submission_is_repeated() -> None:
