--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -126,7 +126,7 @@
                 choices.append(choice)
             self._assign(job, job.waiting.pop(), machine, now, starved)
             if choices and choices[-1].machine is machine:
-                chooser.placed(choices[-1])
+                chooser.return_machine(choices[-1])
         self._spreader.log_choices(job, choices, had_image)
 
     def _take_hinted_machine(self, job: Job, can_take: MachineFilter) -> Machine | None:
--- a/bayford/spread/score.py
+++ b/bayford/spread/score.py
@@ -110,7 +110,7 @@
     def next(self) -> Choice | None:
         """Returns the machine with the lowest cost, or None if none has room.
 
-        The caller reserves room for the task on the machine and then calls `placed`.
+        The caller reserves room for the task on the machine and then calls `return_machine`.
         """
         while self._heap:
             _, _, machine, cost = heapq.heappop(self._heap)
@@ -118,7 +118,7 @@
                 return Choice(machine, cost, self._load_with_task(machine))
         return None
 
-    def placed(self, choice: Choice) -> None:
+    def return_machine(self, choice: Choice) -> None:
         """Make the chosen machine available for further tasks, after room for this one has been reserved."""
         self._push(choice.machine)
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -38,7 +38,7 @@
         choice.machine.reserve(job.spec)
         choice.machine.images.setdefault(job.image, False)
         chosen.append(choice.machine)
-        chooser.placed(choice)
+        chooser.return_machine(choice)
     return chosen
 
 
