--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -271,8 +271,8 @@
         self.dirty.pop(job_id, None)
         self.pending_completions.pop(job_id, None)
         self.uncounted_migrations.pop(job_id, None)
-        if self.restarts.knows(job_id):
-            self.restarts.forget(job_id)
+        if self.restarts.has_counts(job_id):
+            self.restarts.remove_job(job_id)
             self.obsolete_counts[job_id] = None
 
     def record_accepted_job(self, spec: JobSpec) -> None:
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -39,7 +39,7 @@
             return
         for migration in migrations:
             job = migration.placement.job
-            state.restarts.note(job.spec.id, migration.placement.task)
+            state.restarts.record_migration(job.spec.id, migration.placement.task)
             state.uncounted_migrations.setdefault(job.spec.id, []).append(migration)
 
     def on_migrations_counted(self, migrations: Sequence[Migration]) -> None:
--- a/bayford/spread/restarts.py
+++ b/bayford/spread/restarts.py
@@ -54,17 +54,17 @@
             return False  # one more count would exceed the maximum size of a stored value
         return counts.get(task, 0) < self.limit(job_class)
 
-    def note(self, job_id: str, task: int) -> None:
+    def record_migration(self, job_id: str, task: int) -> None:
         """Count a migration of the task that is about to begin."""
         counts = self._counts.setdefault(job_id, {})
         counts[task] = counts.get(task, 0) + 1
 
-    def forget(self, job_id: str) -> None:
+    def remove_job(self, job_id: str) -> None:
         """Drop the counts of a job that has ended."""
         self._counts.pop(job_id, None)
         self._unreadable.discard(job_id)
 
-    def knows(self, job_id: str) -> bool:
+    def has_counts(self, job_id: str) -> bool:
         """Returns whether there may be a stored value for the job."""
         return job_id in self._counts or job_id in self._unreadable
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -231,12 +231,12 @@
     budget = RestartBudget({"sweep": limit}, 9)
     restarts_of = dict.fromkeys(range(4), 0)
     for task, failover in events:
-        if failover and budget.knows("req-1"):
+        if failover and budget.has_counts("req-1"):
             stored = budget.encode("req-1")
             budget = RestartBudget({"sweep": limit}, 9)
             budget.load("req-1", stored)
         if budget.allows("req-1", "sweep", task):
-            budget.note("req-1", task)
+            budget.record_migration("req-1", task)
             restarts_of[task] += 1
     assert max(restarts_of.values()) <= limit
 
@@ -256,7 +256,7 @@
     budget = RestartBudget({}, 1, value_bytes=384)
     task = 0
     while budget.allows("req-1", "sweep", 10**5 - task):
-        budget.note("req-1", 10**5 - task)
+        budget.record_migration("req-1", 10**5 - task)
         task += 1
     assert task > 10
     assert records.size(budget.encode("req-1")) <= 384
