--- a/bayford/coordination/api/acceptance_rate.py
+++ b/bayford/coordination/api/acceptance_rate.py
@@ -43,11 +43,11 @@
         self._bucket.take(1.0)
         return True
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """Raise the rate after the key-value store has executed the transaction of an acceptance."""
         self._rate = min(self._max_rate, self._rate + INCREASE)
 
-    def refused(self) -> None:
+    def on_refused(self) -> None:
         """Lower the rate after the key-value store has refused the transaction of an acceptance."""
         now = self._clock()
         if now - self._decreased_at >= DECREASE_PAUSE_S:
--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -111,12 +111,12 @@
     def on_written(self) -> None:
         """Record that the key-value store has executed the transaction of an acceptance."""
         with self._lock:
-            self._rate_limiter.written()
+            self._rate_limiter.on_written()
 
     def on_write_refused(self) -> None:
         """Record that the key-value store has refused the transaction of an acceptance."""
         with self._lock:
-            self._rate_limiter.refused()
+            self._rate_limiter.on_refused()
 
     def view(self) -> LevelView:
         """Returns the level and the live controllers, at one revision of the watch cache."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -344,14 +344,14 @@
     limiter = AcceptanceRateLimiter(10.0, lambda: now[0])
     for _ in range(8):
         now[0] += 1.0
-        limiter.refused()
+        limiter.on_refused()
     now[0] += 10.0
     assert [limiter.take(False, None) for _ in range(3)] == [True, False, False], (
         "few, and half of them for urgent jobs"
     )
     assert [limiter.take(True, None) for _ in range(2)] == [True, False]
     for _ in range(50):
-        limiter.written()
+        limiter.on_written()
     now[0] += 1.0
     assert sum(limiter.take(True, None) for _ in range(20)) == 10
     now[0] += 1.0
