--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -139,12 +139,12 @@
                 self._decoded_version = row.version
             return self._decoded
 
-    def submitted(self) -> Sample:
+    def submission_sample(self) -> Sample:
         """Returns a sample of the jobs recently submitted to this controller, for the leader."""
         with self._lock:
             return self._submitted.recent_sample(self._clock())
 
-    def refused(self) -> int:
+    def refusal_count(self) -> int:
         """Returns how many submissions the level has refused since this controller started."""
         with self._lock:
             return self._refused
--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -290,7 +290,7 @@
             self.admission.on_peer_status(status)
 
     def _refused_submissions(self) -> int:
-        return 0 if self.admission is None else self.admission.gate.refused()
+        return 0 if self.admission is None else self.admission.gate.refusal_count()
 
     # -- threads ---------------------------------------------------------------------------------------
 
--- a/bayford/coordination/leader/admission_publisher.py
+++ b/bayford/coordination/leader/admission_publisher.py
@@ -67,7 +67,7 @@
 
     def submitted(self) -> mesh.Submitted:
         """Returns a sample of the jobs submitted to this controller, for the other controllers."""
-        return encode_sample(self.gate.submitted())
+        return encode_sample(self.gate.submission_sample())
 
     def step(self) -> float:
         """Publishes a level if one is due and returns the seconds to wait until the next call."""
@@ -79,7 +79,7 @@
         if not self._scheduler.leader or not self._is_verified_leader():
             return
         now = self._clock()
-        self.control.note_submitted(self._member, self.gate.submitted(), now)
+        self.control.note_submitted(self._member, self.gate.submission_sample(), now)
         term, view = self._scheduler.term, self.gate.view()
         task_log_rps = self._commit_loop.rate_rps
         lag_s = self._scheduler.pending_completion_count() / task_log_rps
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -244,7 +244,7 @@
         assert node.submit(submission_of(cluster, number, cpus=-1.0)).status == 400
         if not number % 20:
             cluster.step()
-    assert not any(admission_of(node).gate.submitted().jobs for node in cluster.nodes.values())
+    assert not any(admission_of(node).gate.submission_sample().jobs for node in cluster.nodes.values())
     assert records.ADMISSION not in cluster.store.rows
 
 
