--- a/bayford/coordination/workers/heartbeat_service.py
+++ b/bayford/coordination/workers/heartbeat_service.py
@@ -124,7 +124,7 @@
 
     def _redirect_target(self, heartbeat: workers.Heartbeat, record: LeadershipRecord) -> str | None:
         """Returns the controller to redirect the worker to, None if this one answers as the relay."""
-        if self._relay.stale(heartbeat):
+        if self._relay.is_stale(heartbeat):
             return record.leader
         leader_unreachable = record.leader in self._peers.unreachable
         # A heartbeat with the current fencing token and a higher sequence number than a worker's first ones
@@ -201,7 +201,7 @@
                 self._pause(event, hold_s - waited_s)
 
     def _answer_as_relay(self, heartbeat: workers.Heartbeat) -> Reply:
-        self._relay.note(heartbeat)
+        self._relay.store_heartbeat(heartbeat)
         is_refreshed = self._watch_cache.refresh(RELAY_READ_TIMEOUT_S)
         # The token is read before the commands, so that they are never sent with the token of a later leader.
         fencing_token = self._membership.record.fencing_token
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -66,7 +66,7 @@
         self._key_count = 0  # number of keys last published; used only by the publishing thread
         self._known_cancelled: set[str] = set()
 
-    def stale(self, heartbeat: workers.Heartbeat) -> bool:
+    def is_stale(self, heartbeat: workers.Heartbeat) -> bool:
         """Returns whether this or a newer heartbeat of the machine was seen here before; if not, records it.
 
         A late copy must not move a machine between the leader and the relay, and is not passed on.
@@ -107,7 +107,7 @@
                 }
             return False
 
-    def note(self, heartbeat: workers.Heartbeat) -> None:
+    def store_heartbeat(self, heartbeat: workers.Heartbeat) -> None:
         """Store the heartbeat of a relayed machine for the leader, unless a newer one is stored."""
         with self._lock:
             stored = self._heartbeats.get(heartbeat.machine)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -200,8 +200,8 @@
     cluster = Cluster(nodes=2)
     relay = cluster.nodes["n1"].relay
     heartbeats = [cluster.machine().heartbeat() for _ in range(MACHINES + 500)]
-    assert not any(relay.stale(heartbeat) for heartbeat in heartbeats)
-    assert all(relay.stale(heartbeat) for heartbeat in heartbeats), "each of them was seen before"
+    assert not any(relay.is_stale(heartbeat) for heartbeat in heartbeats)
+    assert all(relay.is_stale(heartbeat) for heartbeat in heartbeats), "each of them was seen before"
 
 
 def test_a_relay_of_4000_machines_keeps_to_the_rate_and_passes_each_machine_on() -> None:
@@ -223,7 +223,7 @@
                 (task_id, n): Attempt(task_id, rng.randrange(10**5), "running")
                 for n, task_id in enumerate(task_ids)
             }
-            relaying.relay.note(worker.heartbeat())
+            relaying.relay.store_heartbeat(worker.heartbeat())
         fleet = fleet[1:] + fleet[:1]
         cluster.try_step(relaying.relay_publisher.publish)
         for key, (value, version, _) in cluster.store.rows.items():
