--- a/bayford/coordination/row_dispatcher.py
+++ b/bayford/coordination/row_dispatcher.py
@@ -6,7 +6,7 @@
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.leadership.membership import Membership
 from bayford.coordination.signals import Signals
-from bayford.coordination.workers.relay import heartbeats_in
+from bayford.coordination.workers.relay import decode_heartbeats
 from bayford.storage import records
 from bayford.storage.key_value_store import Row
 
@@ -57,7 +57,7 @@
             log.error("record unreadable: key=%s reason=%s", row.key, error)
 
     def _apply_relayed_heartbeats(self, row: Row) -> None:
-        relay, heartbeats = heartbeats_in(row, self._wall())
+        relay, heartbeats = decode_heartbeats(row, self._wall())
         if relay == self._member:
             return
         for heartbeat in heartbeats:
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -206,7 +206,7 @@
         return f"{records.RELAYS}{self._name}/{number}"
 
 
-def heartbeats_in(row: Row, wall: float) -> tuple[str, list[workers.Heartbeat]]:
+def decode_heartbeats(row: Row, wall: float) -> tuple[str, list[workers.Heartbeat]]:
     """Returns the relay's name and the heartbeats in one of its rows, none if the row is old or unreadable.
 
     The rows of a relay that has stopped stay in the store. A new leader that treated them as current would
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,7 +16,7 @@
 from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.coordination.leader.scaling_actions import Deletion, LaunchRequest, ScalingActions
 from bayford.coordination.leader.scheduler import Scheduler
-from bayford.coordination.workers.relay import heartbeats_in
+from bayford.coordination.workers.relay import decode_heartbeats
 from bayford.protocol import workers
 from bayford.protocol.cloud_api import LIST_PAGE, CloudBusyError, Listed, MachinePage
 from bayford.scheduling.model import MachineType
@@ -229,7 +229,7 @@
         for key, (value, version, _) in cluster.store.rows.items():
             if key.startswith(records.RELAYS) and seen.get(key) != version:
                 seen[key] = version
-                for heartbeat in heartbeats_in(Row(key, value, version), cluster.clock.wall())[1]:
+                for heartbeat in decode_heartbeats(Row(key, value, version), cluster.clock.wall())[1]:
                     last_heartbeat_at[heartbeat.machine].append(cluster.clock.now)
     assert cluster.store.rate_limited_count == 0
     assert len(seen) > 2 * cluster.store.write_rps, "more values than may be written in two seconds"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 
 from bayford.coordination.store_limits import StoreLimits
 from bayford.coordination.store_writer import write_each
-from bayford.coordination.workers.relay import heartbeats_in
+from bayford.coordination.workers.relay import decode_heartbeats
 from bayford.protocol import mesh, workers
 from bayford.storage import load_summary, records, row_builder, task_log
 from bayford.storage.key_value_store import Put, Row, TooLargeError
@@ -84,7 +84,7 @@
 
 
 def test_relay_values_summaries_status_and_responses_of_production_are_read_and_still_written_so() -> None:
-    name, heartbeats = heartbeats_in(Row("b/relay/n2/0", GOLDEN["relay"], 5), GOLDEN["relay"]["at"])
+    name, heartbeats = decode_heartbeats(Row("b/relay/n2/0", GOLDEN["relay"], 5), GOLDEN["relay"]["at"])
     assert name == "n2" and [msgspec.to_builtins(r) for r in heartbeats] == [GOLDEN["report"]]
     assert mesh.pack_heartbeats(heartbeats, 2000) == [GOLDEN["relay"]["reports"]]
     rows = [Row(key, value, 5) for key, value in GOLDEN["summary"]]
