--- a/bayford/coordination/leader/commit_batch.py
+++ b/bayford/coordination/leader/commit_batch.py
@@ -26,6 +26,6 @@
     puts: list[Put] = field(default_factory=list)
     tasks: dict[str, set[int]] = field(default_factory=dict)  # job -> tasks whose state is written
     placements: list[Placement] = field(default_factory=list)  # they may start once it is durable
-    over: list[str] = field(default_factory=list)  # jobs that the batch closes
+    closed_jobs: list[str] = field(default_factory=list)  # jobs that the batch closes
     migrations: dict[str, list[Migration]] = field(default_factory=dict)  # job -> migrations to begin
     deleted_counts: list[str] = field(default_factory=list)  # jobs whose migration counts are deleted
--- a/bayford/coordination/leader/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -60,7 +60,7 @@
                 if placement.job.open.get(placement.task) is placement:
                     placement.durable = True
                     machines_to_wake.add(placement.machine)
-            for job_id in batch.over:
+            for job_id in batch.closed_jobs:
                 self._state.drop_job(job_id)
             for machine in machines_to_wake:
                 self._state.events.on_commands_ready(machine)
@@ -83,7 +83,7 @@
             for job_id, tasks in batch.tasks.items():
                 if job_id in self._state.jobs:
                     self._state.dirty.setdefault(job_id, set()).update(tasks)
-            for job_id in batch.over:
+            for job_id in batch.closed_jobs:
                 if job_id in self._state.jobs:
                     self._state.pending_completions[job_id] = None
             for job_id, migrations in batch.migrations.items():
@@ -184,7 +184,7 @@
                 del state.pending_completions[job_id]
                 continue
             self._rows[-1].add_over(job_id)
-            self._batch.over.append(job_id)
+            self._batch.closed_jobs.append(job_id)
 
     def _add_final_record(self, job_id: str, job: Job) -> bool:
         """Add the job's final record, which marks it as done. Return False if the record exceeds the size
@@ -227,5 +227,5 @@
                 state.dirty[job_id] = remaining
             else:
                 del state.dirty[job_id]
-        for job_id in self._batch.over:
+        for job_id in self._batch.closed_jobs:
             del state.pending_completions[job_id]
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -333,8 +333,8 @@
     assert len(scheduler.state.pending_completions) == 5
     batch = scheduler.take_batch(2)
     assert batch is not None
-    assert batch.over[0] == "req-000005"
-    assert len(batch.over) == 1
+    assert batch.closed_jobs[0] == "req-000005"
+    assert len(batch.closed_jobs) == 1
 
 
 def test_accepted_jobs_are_noted_while_the_leader_computes_a_level(cluster: Cluster) -> None:
--- a/tests/test_cancellation_under_faults.py
+++ b/tests/test_cancellation_under_faults.py
@@ -335,7 +335,7 @@
     if moment in ("writing", "written"):
         batch = leader.scheduler.take_batch(12)
         assert batch is not None
-        assert batch.over == ["req-000001"]
+        assert batch.closed_jobs == ["req-000001"]
     if moment == "written":
         assert batch is not None
         leader.commit_loop.write(batch)
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -152,7 +152,7 @@
     for worker in cluster.workers.values():
         cluster.heartbeat(worker, leader)
     batch = node.scheduler.take_batch(12)
-    assert batch is not None and batch.over == ["req-000001"]
+    assert batch is not None and batch.closed_jobs == ["req-000001"]
     assert cluster.cancel(other, "req-000001") == "aborted"
     node.commit_loop.write(batch)
     for _ in range(3):
