--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -183,8 +183,8 @@
         if not self._leadership.is_verified_leader():
             # This process may have been paused since the decision, and another leader may manage the
             # machines by now.
-            overdue = self._scheduler.overdue() if self._leadership.no_competing_leader() else set()
-            self._scheduler.not_deleted([name for name in names if name not in overdue])
+            overdue = self._scheduler.overdue_machines() if self._leadership.no_competing_leader() else set()
+            self._scheduler.on_deletion_unconfirmed([name for name in names if name not in overdue])
             names = [name for name in names if name in overdue]
             if not names:
                 return False
@@ -192,8 +192,8 @@
             self._cloud.delete(names)
         except CloudBusyError as error:
             log.info("deletion not confirmed: machines=%s error=%s", ",".join(names), error)
-            self._scheduler.not_deleted(names)
+            self._scheduler.on_deletion_unconfirmed(names)
             return False
-        self._scheduler.deleted(names)
+        self._scheduler.on_deletion_confirmed(names)
         self._on_change()
         return True
--- a/bayford/coordination/leader/commit_loop.py
+++ b/bayford/coordination/leader/commit_loop.py
@@ -83,17 +83,17 @@
         except TooLargeError:
             # Lower the limits: the same batch would be refused on every retry, and nothing more would be
             # written.
-            self._scheduler.not_committed(batch)
+            self._scheduler.on_not_committed(batch)
             self._limits.too_large(len(batch.puts), max(records.size(put.value) for put in batch.puts))
             return
         except UnavailableError as error:
-            self._scheduler.not_committed(batch)
+            self._scheduler.on_not_committed(batch)
             self.writes.drain()
             log.debug("commit refused: error=%s", error)
             return
         except Exception as error:  # noqa: BLE001 - see below
             # The transaction may have been applied in spite of the error, so its changes are written again.
-            self._scheduler.not_committed(batch)
+            self._scheduler.on_not_committed(batch)
             log.info("commit outcome unknown: error=%r", error)
             return
         if outcome.applied:
@@ -106,12 +106,12 @@
         # acted on.
         rows = [Row(put.key, put.value, outcome.revision) for put in batch.puts]
         self._watch_cache.apply(rows, notify=False)
-        self._scheduler.committed(batch)
+        self._scheduler.on_committed(batch)
         if batch.placements:
             self._signals.verify.set()  # workers request the starts next; these need a verified leader
 
     def _on_conflict(self, batch: CommitBatch, outcome: Outcome) -> None:
-        self._scheduler.not_committed(batch)
+        self._scheduler.on_not_committed(batch)
         self._watch_cache.pull(0.0)
         if records.LEADERSHIP in outcome.failed:
             log.info("leadership lost, leadership record changed: term=%d", batch.term)
--- a/bayford/coordination/leader/scaling_loop.py
+++ b/bayford/coordination/leader/scaling_loop.py
@@ -70,7 +70,7 @@
             return self._scheduler.scaling_step(self._listening_since())
         self._accepting_since = self._clock()
         if self._verifier.no_competing_leader():
-            return self._scheduler.overdue_step()
+            return self._scheduler.request_overdue_deletions()
         return ScalingActions()
 
     def monitor_zones(self) -> None:
@@ -87,9 +87,9 @@
             self._writes.take(len(puts))
             conditions = {records.LEADERSHIP: self._scheduler.term}
             if not self._store.compare_and_swap(conditions, puts).applied:
-                self._scheduler.zones_not_written(puts)
+                self._scheduler.on_zones_not_written(puts)
         except (UnavailableError, OutcomeUnknownError):
-            self._scheduler.zones_not_written(puts)
+            self._scheduler.on_zones_not_written(puts)
             raise
 
     def _listening_since(self) -> float:
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -117,7 +117,7 @@
         """Stop being leader and discard all scheduling state."""
         self.state.step_down()
 
-    def verified(self, as_of: float, term: int) -> None:
+    def record_verification(self, as_of: float, term: int) -> None:
         """Record that a read sent at `as_of` (steady clock) returned the leadership record of `term`, and
         that all cancellations up to then have been applied."""
         self.state.verified(as_of, term)
@@ -151,7 +151,7 @@
         """Run one scheduling round: place waiting tasks, then preempt for work that is allowed to preempt."""
         self.scheduling.round()
 
-    def waiting(self) -> list[str]:
+    def waiting_report(self) -> list[str]:
         """Return log lines that list the longest-waiting jobs and the reason why each one waits."""
         return self.scheduling.waiting()
 
@@ -168,22 +168,26 @@
         transaction is in flight."""
         return self.commits.take_batch(ops)
 
-    def committed(self, batch: CommitBatch) -> None:
+    def on_committed(self, batch: CommitBatch) -> None:
         """Handle a batch that is durable."""
         self.commits.committed(batch)
 
-    def not_committed(self, batch: CommitBatch) -> None:
+    def on_not_committed(self, batch: CommitBatch) -> None:
         """Handle a batch that was refused, conflicted or got no response."""
         self.commits.not_committed(batch)
 
     # Workers.
 
     def on_heartbeat(
-        self, heartbeat: workers.Heartbeat, after: float = NEVER, relay: str = "", asked: bool = False
+        self,
+        heartbeat: workers.Heartbeat,
+        sent_after: float = NEVER,
+        relay: str = "",
+        is_command_response: bool = False,
     ) -> int | None:
         """Process a heartbeat; return its machine's index, or None if it must not be answered. See
         `HeartbeatHandler.on_heartbeat` for the arguments."""
-        return self.heartbeats.on_heartbeat(heartbeat, after, relay, asked)
+        return self.heartbeats.on_heartbeat(heartbeat, sent_after, relay, is_command_response)
 
     def on_answered(self, index: int, heartbeat: workers.Heartbeat, commands: list[workers.Command]) -> None:
         """Handle the response to a heartbeat of the machine having been sent with these commands."""
@@ -230,17 +234,17 @@
         """Process the cloud's list of machines. `began`: when the list was requested."""
         self.autoscaler.on_list(listed, began)
 
-    def scaling_step(self, listening: float) -> ScalingActions:
+    def scaling_step(self, listening_since: float) -> ScalingActions:
         """Return the machines to launch and delete now. No machine is treated as unresponsive before
-        `listening` (steady clock)."""
-        return self.autoscaler.scaling_step(listening)
+        `listening_since` (steady clock)."""
+        return self.autoscaler.scaling_step(listening_since)
 
-    def overdue(self) -> set[str]:
+    def overdue_machines(self) -> set[str]:
         """Return the names of machines to delete even if no controller can be verified as the leader."""
         return self.autoscaler.overdue()
 
-    def overdue_step(self) -> ScalingActions:
-        """Return the deletions of `overdue` machines."""
+    def request_overdue_deletions(self) -> ScalingActions:
+        """Return the deletions of `overdue_machines` machines."""
         return self.autoscaler.overdue_step()
 
     def on_launched(self, request: LaunchRequest, names: list[str], at: float) -> None:
@@ -252,11 +256,11 @@
         """Handle a launch request that was never sent, so that it does not count as refused by the cloud."""
         self.autoscaler.on_launch_failed(request)
 
-    def deleted(self, names: Iterable[str]) -> None:
+    def on_deletion_confirmed(self, names: Iterable[str]) -> None:
         """Handle the cloud's confirmation that these machines, and all tasks on them, no longer exist."""
         self.autoscaler.deleted(names)
 
-    def not_deleted(self, names: Iterable[str]) -> None:
+    def on_deletion_unconfirmed(self, names: Iterable[str]) -> None:
         """Handle unconfirmed deletions: these machines may or may not still exist."""
         self.autoscaler.not_deleted(names)
 
@@ -267,7 +271,7 @@
             self.zone_monitor.update(leader, controllers)
             return self.zone_monitor.puts()
 
-    def zones_not_written(self, puts: list[Put]) -> None:
+    def on_zones_not_written(self, puts: list[Put]) -> None:
         """Handle zone records whose transaction was refused or got no response."""
         with self.state.lock:
             self.zone_monitor.not_written(puts)
--- a/bayford/coordination/leadership/verification.py
+++ b/bayford/coordination/leadership/verification.py
@@ -84,7 +84,7 @@
         row = self._watch_cache.get(records.LEADERSHIP)
         if not self._scheduler.leader or row is None or row.version != term:
             return False
-        self._scheduler.verified(as_of, term)
+        self._scheduler.record_verification(as_of, term)
         self._signals.verified.set()
         return True
 
--- a/bayford/coordination/status_log.py
+++ b/bayford/coordination/status_log.py
@@ -28,7 +28,7 @@
 
     def step(self) -> float:
         """Log the status once. Returns the seconds until the next report."""
-        for line in self._scheduler.waiting():
+        for line in self._scheduler.waiting_report():
             log.info("%s", line)
         for store in self._stores:
             counts = store.counts()
--- a/bayford/coordination/workers/stop_commands.py
+++ b/bayford/coordination/workers/stop_commands.py
@@ -61,6 +61,6 @@
         if body is not None:
             # The answer has the worker's current state, but an earlier response may still be in flight to the
             # worker. So `after`, which would close placements that have not started, is not passed.
-            self._scheduler.on_heartbeat(workers.parse_heartbeat(body), asked=True)
+            self._scheduler.on_heartbeat(workers.parse_heartbeat(body), is_command_response=True)
             self._signals.round.set()
         return 0.0
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -168,10 +168,10 @@
     node.commit_loop.commit_once()
     cluster.cancel("n0", "req-000001")
     node.watch_cache.pull(0.0)
-    node.scheduler.on_heartbeat(worker.heartbeat(), after=cluster.clock.now - 5.0)
+    node.scheduler.on_heartbeat(worker.heartbeat(), sent_after=cluster.clock.now - 5.0)
     assert node.scheduler.state.quotas[0].used_cpus == 1.0
     cluster.pass_time(1.0)
-    node.scheduler.on_heartbeat(worker.heartbeat(), after=cluster.clock.now)
+    node.scheduler.on_heartbeat(worker.heartbeat(), sent_after=cluster.clock.now)
     assert node.scheduler.state.quotas[0].used_cpus == 0.0
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -372,7 +372,7 @@
         assert cluster.cancel("n0", "req-000001") == "aborted"
     elif event == "target":
         cluster.cloud.execute_delete([node.scheduler.state.machine_names[target]])
-        node.scheduler.deleted([node.scheduler.state.machine_names[target]])
+        node.scheduler.on_deletion_confirmed([node.scheduler.state.machine_names[target]])
     else:
         cluster.boot("n0")
 
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -119,7 +119,7 @@
     scheduler = leader_of(cluster).scheduler
     south = zone_index(scheduler, "south")
     scheduler.state.returning_zones = frozenset({south})
-    scheduler.deleted(
+    scheduler.on_deletion_confirmed(
         [machine.name for machine in scheduler.state.machines.values() if machine.zone == south]
     )
     cluster.submit("n0", cluster.job(1, crew="open", parts=80, guess_s=900.0, yard="south"))
--- a/tools/leader_cost.py
+++ b/tools/leader_cost.py
@@ -158,7 +158,7 @@
             for put in batch.puts:
                 if put.key.startswith(records.LOG):
                     self.task_log.apply_row(put.key, self.version, put.value)
-            self.scheduler.committed(batch)
+            self.scheduler.on_committed(batch)
             count += 1
         return count
 
