--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -153,7 +153,7 @@
 
     def waiting_report(self) -> list[str]:
         """Return log lines that list the longest-waiting jobs and the reason why each one waits."""
-        return self.scheduling.waiting()
+        return self.scheduling.waiting_report()
 
     def has_pending_writes(self) -> bool:
         """Return whether any change has not yet been put into a batch."""
--- a/bayford/coordination/leader/scheduling_round.py
+++ b/bayford/coordination/leader/scheduling_round.py
@@ -50,7 +50,7 @@
                 self.balancer.free_room(waiting, now)
             self.spreader.step(any(job.waiting for job in waiting), now)
 
-    def waiting(self, max_jobs: int = 5) -> list[str]:
+    def waiting_report(self, max_jobs: int = 5) -> list[str]:
         """Return log lines: the longest-waiting jobs, at most `max_jobs`, with the reasons why they wait, and
         totals of the scheduler. Empty if this controller is not the leader."""
         with self._state.lock:
