--- a/bayford/coordination/leader/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -49,7 +49,7 @@
             )
             return self._state.in_flight
 
-    def committed(self, batch: CommitBatch) -> None:
+    def on_committed(self, batch: CommitBatch) -> None:
         """Handle a batch that is durable: its placements may start and its jobs may be reported done."""
         with self._state.lock:
             if not self._state.leader or batch.term != self._state.term:
@@ -67,7 +67,7 @@
             for migrations in batch.migrations.values():
                 self._state.events.on_migrations_counted(migrations)
 
-    def not_committed(self, batch: CommitBatch) -> None:
+    def on_not_committed(self, batch: CommitBatch) -> None:
         """Handle a batch that was refused, conflicted or got no response: queue its changes to be written
         again.
 
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -170,11 +170,11 @@
 
     def on_committed(self, batch: CommitBatch) -> None:
         """Handle a batch that is durable."""
-        self.commits.committed(batch)
+        self.commits.on_committed(batch)
 
     def on_not_committed(self, batch: CommitBatch) -> None:
         """Handle a batch that was refused, conflicted or got no response."""
-        self.commits.not_committed(batch)
+        self.commits.on_not_committed(batch)
 
     # Workers.
 
