--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -51,7 +51,7 @@
                 actions.launches += self._plan_launches(now, demands, groups, remaining_machines)
         return actions
 
-    def overdue(self) -> set[str]:
+    def overdue_machines(self) -> set[str]:
         """Returns the machines to delete even while no controller can verify that it is the leader.
 
         See `MachineDeletions.overdue`.
@@ -59,7 +59,7 @@
         with self._state.lock:
             return {machine.name for machine in self._deletions.overdue()}
 
-    def overdue_step(self) -> ScalingActions:
+    def request_overdue_deletions(self) -> ScalingActions:
         """Returns the deletions of overdue machines that have not been requested yet."""
         with self._state.lock:
             return ScalingActions(deletions=self._deletions.delete_overdue())
@@ -114,7 +114,10 @@
             ordinary_after_s=state.policy.ordinary_after_s,
             patience_s=state.policy.patience_s,
         )
-        return [self._create_request(plan, waiting_s) for plan in self._paced(plans, machines)]
+        return [
+            self._create_request(plan, waiting_s)
+            for plan in self._limit_launches_into_returning_zones(plans, machines)
+        ]
 
     def _create_request(self, plan: LaunchPlan, waiting_s: float) -> LaunchRequest:
         """Counts the plan's machines as being launched and returns the launch request for them."""
@@ -132,7 +135,9 @@
         )
         return LaunchRequest(type_name, zone, pool.spot, plan.count, plan.reason)
 
-    def _paced(self, plans: list[LaunchPlan], machines: Sequence[PooledMachine]) -> list[LaunchPlan]:
+    def _limit_launches_into_returning_zones(
+        self, plans: list[LaunchPlan], machines: Sequence[PooledMachine]
+    ) -> list[LaunchPlan]:
         """Limits launches into a returning zone until one of its machines is verified.
 
         Until then at most `recovery_least` machines are present or being launched there, to test the zone.
@@ -239,7 +244,7 @@
         if not launching[pool]:
             del launching[pool]
 
-    def deleted(self, names: Iterable[str]) -> None:
+    def on_deletion_confirmed(self, names: Iterable[str]) -> None:
         """Handles a confirmed deletion (status 200): the machines and all tasks on them no longer exist."""
         with self._state.lock:
             now = self._state.clock()
@@ -257,7 +262,7 @@
                 self._state.events.on_machine_deleted(machine.index)
                 self._state.reclaim_pending.pop(machine.index, None)
 
-    def not_deleted(self, names: Iterable[str]) -> None:
+    def on_deletion_unconfirmed(self, names: Iterable[str]) -> None:
         """Handles a deletion that was not confirmed: the next steps decide again.
 
         The machine may or may not exist.
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -241,11 +241,11 @@
 
     def overdue_machines(self) -> set[str]:
         """Return the names of machines to delete even if no controller can be verified as the leader."""
-        return self.autoscaler.overdue()
+        return self.autoscaler.overdue_machines()
 
     def request_overdue_deletions(self) -> ScalingActions:
         """Return the deletions of `overdue_machines` machines."""
-        return self.autoscaler.overdue_step()
+        return self.autoscaler.request_overdue_deletions()
 
     def on_launched(self, request: LaunchRequest, names: list[str], at: float) -> None:
         """Handle the result of a launch request sent at `at`: the names of the new machines, which may be
@@ -258,11 +258,11 @@
 
     def on_deletion_confirmed(self, names: Iterable[str]) -> None:
         """Handle the cloud's confirmation that these machines, and all tasks on them, no longer exist."""
-        self.autoscaler.deleted(names)
+        self.autoscaler.on_deletion_confirmed(names)
 
     def on_deletion_unconfirmed(self, names: Iterable[str]) -> None:
         """Handle unconfirmed deletions: these machines may or may not still exist."""
-        self.autoscaler.not_deleted(names)
+        self.autoscaler.on_deletion_unconfirmed(names)
 
     def monitor_zones(self, leader: LeadershipFacts, controllers: Mapping[str, str]) -> list[Put]:
         """Update the states of the zones and return the zone records to write now. `controllers`: by zone, a
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -93,12 +93,16 @@
     ]
     south, north = (scaling.MachinePool(0, zone_index(scheduler, name), True) for name in ("south", "north"))
     plans = [scaling.LaunchPlan(south, 20, "backlog"), scaling.LaunchPlan(north, 20, "backlog")]
-    assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [
+    assert [
+        plan.count for plan in scheduler.autoscaler._limit_launches_into_returning_zones(plans, present)
+    ] == [
         RECOVERY_POLICY.recovery_least,
         20,
     ]
     scheduler.state.launching[south] = 2
-    assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [1, 20]
+    assert [
+        plan.count for plan in scheduler.autoscaler._limit_launches_into_returning_zones(plans, present)
+    ] == [1, 20]
     scheduler.state.verified_machines = frozenset(
         {
             next(
@@ -112,7 +116,9 @@
         scaling.PooledMachine(south, scheduler.state.machines[index])
         for index in scheduler.state.verified_machines
     ]
-    assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [20, 20]
+    assert [
+        plan.count for plan in scheduler.autoscaler._limit_launches_into_returning_zones(plans, present)
+    ] == [20, 20]
 
 
 def test_the_autoscaler_launches_only_a_few_machines_into_a_returning_zone(cluster: Cluster) -> None:
