--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -368,18 +368,18 @@
 
     # -- workers ---------------------------------------------------------------------------------------
 
-    def heartbeat(self, heartbeat: workers.Heartbeat, after: float, hold: bool = True) -> Reply:
+    def heartbeat(self, heartbeat: workers.Heartbeat, sent_after: float, may_hold: bool = True) -> Reply:
         """Answer a worker's heartbeat; see `HeartbeatService.answer`."""
-        return self.heartbeats.answer(heartbeat, after, hold)
+        return self.heartbeats.answer(heartbeat, sent_after, may_hold)
 
     # -- users -----------------------------------------------------------------------------------------
 
     @property
-    def admission_on(self) -> bool:
+    def is_admission_enabled(self) -> bool:
         """Whether submissions are subject to admission control."""
         return self.admission is not None
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether this controller can serve requests of users.
 
         In an outage of the state service all controllers stay healthy: users are asked to retry, and no
--- a/bayford/transport/http_handlers.py
+++ b/bayford/transport/http_handlers.py
@@ -49,7 +49,7 @@
         return Response(404, jobs.error("no such path"))
 
     def _health(self) -> Response:
-        if self._controller.healthy():
+        if self._controller.is_healthy():
             return Response(200, b'{"ok":true}')
         return Response(503, b'{"ok":false}')
 
@@ -59,7 +59,7 @@
         except jobs.InvalidError as error:
             return Response(400, jobs.error(str(error)))
         reply = self._controller.heartbeat(
-            heartbeat, request.sent_after, hold=not request.is_near_connection_limit
+            heartbeat, request.sent_after, may_hold=not request.is_near_connection_limit
         )
         # If there are more machines than allowed connections, each is answered at once and its connection
         # closed. Otherwise the last ones to connect would be refused until a lease has expired.
@@ -88,7 +88,7 @@
     def _limit_share(self, request: Request, route: _UserRoute) -> float:
         """Returns the share of the limit that the request may use. Non-urgent submissions leave a part of the
         limit to urgent ones, and to queries and cancellations."""
-        if route.operation != "submit" or not self._controller.admission_on:
+        if route.operation != "submit" or not self._controller.is_admission_enabled:
             return 1.0
         return 1.0 if jobs.priority_of(request.body) >= URGENT else NON_URGENT_SHARE
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -207,7 +207,7 @@
     )
     assert [worker.epoch for worker in cluster.workers.values()] == epochs, "no lease ran out"
     assert len(running_tasks(cluster)) == 12
-    assert not cluster.nodes[leader].healthy(), "its users go elsewhere"
+    assert not cluster.nodes[leader].is_healthy(), "its users go elsewhere"
     cluster.cancel(next(n for n in cluster.nodes if n != leader), "req-000001")
     run_for(cluster, 10.0)
     assert running_tasks(cluster) == []
