--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -80,7 +80,7 @@
         self._launch_queue: queue.Queue[LaunchRequest] = queue.Queue(LAUNCH_QUEUE_SIZE)
         self._deletions: queue.Queue[str] = queue.Queue()  # contains each machine at most once
 
-    def carry_out(self, step: ScalingActions) -> None:
+    def enqueue(self, step: ScalingActions) -> None:
         """Queues the launches and deletions that the scheduler decided on."""
         for request in step.launches:
             try:
--- a/bayford/coordination/leader/scaling_loop.py
+++ b/bayford/coordination/leader/scaling_loop.py
@@ -51,7 +51,7 @@
         Returns the seconds to wait until the next call.
         """
         if self._scheduler.leader:
-            self._cloud_operations.carry_out(self.scaling_once())
+            self._cloud_operations.enqueue(self.scaling_once())
         # This comes last: a write that fails during an outage must not prevent the deletion of overdue
         # machines.
         if self._scheduler.leader and self._scheduler.policy.recovery:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -190,7 +190,7 @@
     requests = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
     for request in requests:
         scheduler.autoscaler._add_launching(scheduler.autoscaler._pool(request), request.count)
-    operations.carry_out(ScalingActions(requests, [Deletion("vm-000001", "idle")]))
+    operations.enqueue(ScalingActions(requests, [Deletion("vm-000001", "idle")]))
     assert operations.delete(["vm-000001"])
     waiting = sum(scheduler.state.launching.values())
     assert MACHINES <= waiting < 400 * 50, "launches that the queue did not take are decided again"
