--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -269,9 +269,9 @@
         description of its reachable controllers."""
         with self.state.lock:
             self.zone_monitor.update(leader, controllers)
-            return self.zone_monitor.puts()
+            return self.zone_monitor.take_due_records()
 
     def on_zones_not_written(self, puts: list[Put]) -> None:
         """Handle zone records whose transaction was refused or got no response."""
         with self.state.lock:
-            self.zone_monitor.not_written(puts)
+            self.zone_monitor.mark_unwritten(puts)
--- a/bayford/coordination/leader/zone_monitor.py
+++ b/bayford/coordination/leader/zone_monitor.py
@@ -187,7 +187,7 @@
                 if state.zone_of(machine) != zone
             }
         self._unwritten.add(zone)
-        self._last_write_at = 0.0  # the next `puts` writes at once
+        self._last_write_at = 0.0  # the next `take_due_records` writes at once
 
     def _find_open_tasks(self, zone: int) -> set[TaskKey]:
         """Returns the tasks with an open placement on a machine of the zone."""
@@ -293,7 +293,7 @@
 
     # -- records ---------------------------------------------------------------------------------------
 
-    def puts(self) -> list[Put]:
+    def take_due_records(self) -> list[Put]:
         """Returns the records to write now. The caller writes them on condition of the leader's term."""
         state = self._state
         now = state.clock()
@@ -307,7 +307,7 @@
         self._unwritten.clear()
         return puts
 
-    def not_written(self, puts: list[Put]) -> None:
+    def mark_unwritten(self, puts: list[Put]) -> None:
         """Marks these records to be written again, after a write that failed or whose outcome is unknown."""
         for put in puts:
             zone = self._state.zones.find(put.key[len(zone_record.key("")) :])
