--- a/bayford/coordination/leader/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -117,7 +117,7 @@
         with self._lock:
             return self._capacity.task_log_rps()
 
-    def not_written(self) -> None:
+    def on_write_failed(self) -> None:
         """Makes the next level due at once, after a write that failed or whose outcome is unknown."""
         with self._lock:
             self._level_control.mark_not_published()
--- a/bayford/coordination/leader/admission_publisher.py
+++ b/bayford/coordination/leader/admission_publisher.py
@@ -95,7 +95,7 @@
             conditions = {records.LEADERSHIP: term, put.key: view.version}
             outcome = self._store.compare_and_swap(conditions, [put])
         except (UnavailableError, OutcomeUnknownError):
-            self.control.not_written()
+            self.control.on_write_failed()
             raise
         if outcome.applied:
             self._watch_cache.apply([Row(put.key, put.value, outcome.revision)])
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -178,7 +178,7 @@
     flood(cluster, 6, 1)
     cluster.store.delays_next_write_of.add(leader)
     node = cluster.nodes[leader]
-    admission_of(node).control.not_written()
+    admission_of(node).control.on_write_failed()
     assert not cluster.try_step(admission_of(node).publish_once), "its response is lost"
     assert cluster.store.delayed_writes
     assert cluster.store.delayed_writes[0][1][0].key == records.ADMISSION
