--- a/bayford/coordination/leader/scaling_loop.py
+++ b/bayford/coordination/leader/scaling_loop.py
@@ -51,14 +51,14 @@
         Returns the seconds to wait until the next call.
         """
         if self._scheduler.leader:
-            self._cloud_operations.enqueue(self.scaling_once())
+            self._cloud_operations.enqueue(self.decide_scaling())
         # This comes last: a write that fails during an outage must not prevent the deletion of overdue
         # machines.
         if self._scheduler.leader and self._scheduler.policy.recovery:
             self.monitor_zones()
         return STEP_PERIOD_S
 
-    def scaling_once(self) -> ScalingActions:
+    def decide_scaling(self) -> ScalingActions:
         """Returns the machines to launch and to delete now.
 
         While leadership is not verified, nothing is launched and at most overdue machines are deleted.
--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -255,7 +255,7 @@
         if not node.scheduler.leader or name in self.paused:
             return
         self.try_step(node.cloud_operations.list_step)
-        step = node.scaling_loop.scaling_once()
+        step = node.scaling_loop.decide_scaling()
         for launch in step.launches:
             node.cloud_operations.launch(launch)
         if step.deletions:
