--- a/bayford/coordination/leader/zone_monitor.py
+++ b/bayford/coordination/leader/zone_monitor.py
@@ -84,7 +84,7 @@
                 continue
             if zone is not None:
                 self.statuses[zone] = status
-                self.losses[zone] = [TaskOutcomes.of(loss) for loss in record.losses]
+                self.losses[zone] = [TaskOutcomes.from_stored(loss) for loss in record.losses]
                 self._record_missed_outcomes(zone)
         self._update_scheduling_state()
 
@@ -248,7 +248,7 @@
         """See `LeaderListener`."""
         key = (placement.job.spec.id, placement.task)
         for zone, losses in self.losses.items():
-            if any(outcomes.note_done(key) for outcomes in losses):
+            if any(outcomes.record_finished(key) for outcomes in losses):
                 self._unwritten.add(zone)
 
     def on_task_placed(self, placement: Placement) -> None:
@@ -256,7 +256,7 @@
         key = (placement.job.spec.id, placement.task)
         machine = self._state.machine_names[placement.machine]
         for zone, losses in self.losses.items():
-            if any(outcomes.note_placed(key, machine) for outcomes in losses):
+            if any(outcomes.record_rerun(key, machine) for outcomes in losses):
                 self._unwritten.add(zone)
 
     def _record_missed_outcomes(self, zone: int) -> None:
@@ -267,9 +267,9 @@
                 job_id, task = key
                 job = state.jobs.get(job_id)
                 if job is None or task in job.done:
-                    outcomes.note_ended_unseen(key)
+                    outcomes.record_ended_unseen(key)
                 elif task in job.open and state.zone_of(job.open[task].machine) not in (None, zone):
-                    outcomes.note_placed(key, state.machine_names[job.open[task].machine])
+                    outcomes.record_rerun(key, state.machine_names[job.open[task].machine])
                 else:
                     continue
                 self._unwritten.add(zone)
@@ -278,7 +278,7 @@
         for zone, losses in self.losses.items():
             for outcomes in losses:
                 for key in [key for key in outcomes.open if self._is_cancelled(key)]:
-                    outcomes.note_cancelled(key)
+                    outcomes.record_cancelled(key)
                     self._unwritten.add(zone)
 
     def _is_cancelled(self, key: TaskKey) -> bool:
@@ -326,6 +326,6 @@
             state=status.state.value,
             since=status.since + offset_s,
             flaps=status.flaps,
-            losses=[outcomes.record() for outcomes in losses],
+            losses=[outcomes.to_stored() for outcomes in losses],
         )
         return zone_record.encode(record, state.limits.value_bytes)
--- a/bayford/recovery/task_outcomes.py
+++ b/bayford/recovery/task_outcomes.py
@@ -31,35 +31,35 @@
         self.open.discard(key)
         return was_open
 
-    def note_done(self, key: TaskKey) -> bool:
+    def record_finished(self, key: TaskKey) -> bool:
         """Records that an attempt of the task in the lost zone has succeeded."""
         if not self._remove_open(key):
             return False
         self.finished.add(key)
         return True
 
-    def note_placed(self, key: TaskKey, machine: str) -> bool:
+    def record_rerun(self, key: TaskKey, machine: str) -> bool:
         """Records that the task has been placed again, on `machine`."""
         if not self._remove_open(key):
             return False
         self.rerun[key] = machine
         return True
 
-    def note_cancelled(self, key: TaskKey) -> bool:
+    def record_cancelled(self, key: TaskKey) -> bool:
         """Records that the task's job is cancelled and the task has no open placement."""
         if not self._remove_open(key):
             return False
         self.cancelled.add(key)
         return True
 
-    def note_ended_unseen(self, key: TaskKey) -> bool:
+    def record_ended_unseen(self, key: TaskKey) -> bool:
         """Records that the task had already ended when the next leader's term began."""
         if not self._remove_open(key):
             return False
         self.ended_unseen.add(key)
         return True
 
-    def record(self) -> Loss:
+    def to_stored(self) -> Loss:
         """Returns the stored form of the loss."""
         rerun: dict[str, list[RerunTask]] = {}
         for (job_id, task), machine in sorted(self.rerun.items()):
@@ -76,7 +76,7 @@
         )
 
     @staticmethod
-    def of(loss: Loss) -> "TaskOutcomes":
+    def from_stored(loss: Loss) -> "TaskOutcomes":
         """Restores the outcomes from a stored loss; omits tasks that are stored only as counts."""
         return TaskOutcomes(
             suspected=loss.suspected,
--- a/tests/test_zone_records.py
+++ b/tests/test_zone_records.py
@@ -59,13 +59,13 @@
     for event, job, task in events:
         key = (f"req-{job:06d}", task)
         if event == "done":
-            outcomes.note_done(key)
+            outcomes.record_finished(key)
         elif event == "placed":
-            outcomes.note_placed(key, "vm-000001")
+            outcomes.record_rerun(key, "vm-000001")
         elif event == "cancelled":
-            outcomes.note_cancelled(key)
+            outcomes.record_cancelled(key)
         else:
-            outcomes.note_ended_unseen(key)
+            outcomes.record_ended_unseen(key)
     outcome_sets = [
         outcomes.open,
         outcomes.finished,
@@ -74,8 +74,8 @@
         outcomes.ended_unseen,
     ]
     assert sum(len(keys) for keys in outcome_sets) == len(set().union(*outcome_sets)) == len(tasks)
-    assert TaskOutcomes.of(outcomes.record()) == outcomes
-    losses = [outcomes.record()] * 12
+    assert TaskOutcomes.from_stored(outcomes.to_stored()) == outcomes
+    losses = [outcomes.to_stored()] * 12
     value = zone_record.encode(zone_record.ZoneRecord("north", "lost", 1.0, 0, losses), max_bytes)
     assert records.size(value) <= max_bytes
     last = zone_record.decode(json.loads(json.dumps(value))).losses[-1]
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -264,7 +264,7 @@
             monitor = cluster.nodes[name].scheduler.zone_monitor
             lost = zone_index(cluster.nodes[name].scheduler, zone)
             assert monitor.statuses[lost].state is not ZoneState.UP
-            assert sum(monitor.losses[lost][0].record().totals().values()) == 16
+            assert sum(monitor.losses[lost][0].to_stored().totals().values()) == 16
             break
     else:
         pytest.fail("no failover")
