--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -40,7 +40,7 @@
 
 log = logging.getLogger(__name__)
 
-ROOM_KEPT_S = 4.0  # seconds for which capacity freed for a job stays reserved for it
+RESERVATION_S = 4.0  # seconds for which capacity freed for a job stays reserved for it
 MAX_URGENT_JOBS = 21  # number of most recent urgent jobs kept in `LeaderState.urgent_jobs`
 MAX_STALENESS_MARGIN_S = 5.0  # upper bound of the margin in `LeaderState.staleness_limit`
 STALENESS_MARGIN_SHARE = 0.25
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -9,7 +9,7 @@
 
 from bayford.coordination.leader.commit_batch import Migration
 from bayford.coordination.leader.leader_events import LeaderListener
-from bayford.coordination.leader.leader_state import ROOM_KEPT_S, LeaderState
+from bayford.coordination.leader.leader_state import RESERVATION_S, LeaderState
 from bayford.scheduling import preemption
 from bayford.scheduling.model import Job, Placement
 
@@ -77,4 +77,7 @@
         """Reserve the machine for a job until the migrated tasks have had time to save their checkpoints."""
         machine = self._state.machines[index]
         save_s = max((placement.job.spec.checkpoint_save_s for placement in moved), default=0.0)
-        machine.reserved_for, machine.reserved_until = job.spec.id, self._state.clock() + ROOM_KEPT_S + save_s
+        machine.reserved_for, machine.reserved_until = (
+            job.spec.id,
+            self._state.clock() + RESERVATION_S + save_s,
+        )
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from bayford.coordination.leader.leader_state import ROOM_KEPT_S, LeaderState
+from bayford.coordination.leader.leader_state import RESERVATION_S, LeaderState
 from bayford.scheduling import placement_rules, preemption
 from bayford.scheduling.model import EPS, URGENT, Job, Machine, Placement
 from bayford.scheduling.quota import TeamQuota
@@ -152,7 +152,7 @@
             # Without the reservation, smaller tasks would take the capacity that is already free there, and
             # the stops would not make enough room.
             machine = state.machines[option.machine]
-            machine.reserved_for, machine.reserved_until = job.spec.id, search.now + ROOM_KEPT_S
+            machine.reserved_for, machine.reserved_until = job.spec.id, search.now + RESERVATION_S
             unmet_guarantee -= 1
             tasks -= 1
             for victim in victims:
