--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -284,7 +284,7 @@
             self.urgent_jobs.append(UrgentJob(self.clock(), spec.cpus * spec.tasks))
         self.events.on_job_accepted(spec)
 
-    def expected(self, job: Job) -> float:
+    def expected_run_s(self, job: Job) -> float:
         """Return the expected run time of one task in seconds: the user's estimate, corrected by the observed
         run times of the job's class."""
         if job.spec.shape == SERVICE:
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -162,7 +162,7 @@
         machine = state.machines[target]
         running_since = now if placement.running_since is None else placement.running_since
         ran_s = now - running_since
-        left_s = state.expected(job) - ran_s
+        left_s = state.expected_run_s(job) - ran_s
         fetch_s = 0.0 if machine.images.get(job.image) else state.fetch_s(job, machine)
         lost_s = 0.0 if job.spec.checkpoint_interval_s > 0 else ran_s
         is_worthwhile = left_s > MIN_GAIN * (job.spec.checkpoint_save_s + fetch_s + lost_s)
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -132,7 +132,7 @@
         """Return the CPUs released per second by finishing tasks, estimated from their expected run times."""
         state = self._state
         return sum(
-            len(job.open) * job.spec.cpus / max(1.0, state.expected(job))
+            len(job.open) * job.spec.cpus / max(1.0, state.expected_run_s(job))
             for job in state.jobs.values()
             if not job.is_service
         )
@@ -214,7 +214,7 @@
         loss = search.losses.get(placement)
         if loss is None:
             state = self._state
-            expected_s = state.expected(placement.job)
+            expected_s = state.expected_run_s(placement.job)
             loss = preemption.lost_work(placement.job, placement, search.now, expected_s)
             loss += preemption.delay_cost(
                 placement.job, placement, search.now, expected_s, state.due_s(placement.job)
@@ -226,7 +226,7 @@
         """Return whether a task is expected to finish soon, in which case stopping it would waste its
         work."""
         ran_s = 0.0 if placement.running_since is None else now - placement.running_since
-        return self._state.expected(placement.job) - ran_s < self._state.policy.guarantee_wait_s / 2
+        return self._state.expected_run_s(placement.job) - ran_s < self._state.policy.guarantee_wait_s / 2
 
     def _placement_cost(self, machine: Machine, waiting: Job, loss: float) -> float:
         """Return the total cost of placing the waiting task on this machine. `loss`: the cost of the stops
@@ -284,6 +284,6 @@
         lower priority, then those that lose the least work."""
         job = placement.job
         machine = self._state.machines[placement.machine]
-        loss = preemption.lost_work(job, placement, now, self._state.expected(job))
+        loss = preemption.lost_work(job, placement, now, self._state.expected_run_s(job))
         replica_allowed = placement_rules.type_allowed(service, machine) and machine.usable
         return _TeamVictim((not replica_allowed, job.spec.priority, loss, placement.key), placement)
--- a/bayford/coordination/leader/scheduling_queue.py
+++ b/bayford/coordination/leader/scheduling_queue.py
@@ -85,7 +85,7 @@
         # Without an objective for individual jobs, the longest tasks go first: if they started last, they
         # would still be running when everything else has finished.
         has_no_objective = self._state.due_s(job) is None
-        rank = -self._state.expected(job) if has_no_objective else self._rank(job, now)
+        rank = -self._state.expected_run_s(job) if has_no_objective else self._rank(job, now)
         order = (2.0, guarantee_rank, -float(job.spec.priority), float(has_no_objective), rank)
         entries.append(QueueEntry(order, job, count))
         return entries
@@ -110,7 +110,7 @@
         age_s = now - job.created
         if job.is_service:
             return len(job.waiting) / (1.0 + age_s / self._state.policy.aging_s)
-        run_s = self._state.expected(job)
+        run_s = self._state.expected_run_s(job)
         work = (len(job.waiting) + 0.5 * len(job.open)) * run_s * max(job.spec.cpus, 0.1)
         return work / (1.0 + age_s / self._state.policy.aging_s)
 
--- a/bayford/coordination/leader/scheduling_round.py
+++ b/bayford/coordination/leader/scheduling_round.py
@@ -143,5 +143,5 @@
                     self._state.stop(placement, job.spec.checkpoint_grace_s)
                 continue
             ran_s = 0.0 if placement.running_since is None else now - placement.running_since
-            if max(0.0, self._state.expected(job) - ran_s) > left_s * 1.5:
+            if max(0.0, self._state.expected_run_s(job) - ran_s) > left_s * 1.5:
                 self._state.stop(placement, 0.0)
--- a/bayford/coordination/leader/task_reconciliation.py
+++ b/bayford/coordination/leader/task_reconciliation.py
@@ -59,7 +59,7 @@
         """
         if placement.placed_here or placement.job.is_service:
             return 0.0
-        return 0.5 * self._state.expected(placement.job)
+        return 0.5 * self._state.expected_run_s(placement.job)
 
     def _log_replica_running(self, machine: Machine, placement: Placement, now: float) -> None:
         """Log the downtime of a replica and the parts it consists of."""
--- a/bayford/coordination/leader/waiting_demand.py
+++ b/bayford/coordination/leader/waiting_demand.py
@@ -107,7 +107,7 @@
         # backlog.
         service_cpus = sum(job.spec.cpus * len(job.open) for job in state.jobs.values() if job.is_service)
         running_cpu_s = sum(
-            0.5 * state.expected(job) * job.spec.cpus * len(job.open)
+            0.5 * state.expected_run_s(job) * job.spec.cpus * len(job.open)
             for job in state.jobs.values()
             if not job.is_service
         )
@@ -148,7 +148,7 @@
             cpus=job.spec.cpus,
             gpus=job.spec.gpus,
             mem_gb=job.spec.mem_gb,
-            run_s=self._state.expected(job),
+            run_s=self._state.expected_run_s(job),
             urgent=urgent,
             on_demand=on_demand,
             host_cpus=host_cpus,
@@ -176,7 +176,7 @@
         On-demand machines are launched only if the deadline would be missed without them and can still be met
         with them, and only as many as that requires.
         """
-        run_s = self._state.expected(job)
+        run_s = self._state.expected_run_s(job)
         fleet.backlog_cpu_s += count * job.spec.cpus * run_s
         due_s = self._state.due_s(job)
         if due_s is None:
--- a/bayford/coordination/leader/workload.py
+++ b/bayford/coordination/leader/workload.py
@@ -32,7 +32,7 @@
 
 
 def _estimate_cpu_seconds(state: LeaderState, job: Job) -> float:
-    return job.spec.cpus * _count_open_tasks(job) * state.expected(job)
+    return job.spec.cpus * _count_open_tasks(job) * state.expected_run_s(job)
 
 
 def _estimate_backlog_s(state: LeaderState, cpu_seconds: dict[int, float]) -> dict[int, float]:
--- a/tests/test_failover_run_times.py
+++ b/tests/test_failover_run_times.py
@@ -33,7 +33,7 @@
     run_for(cluster, 2.0, cloud=False)
     job = scheduler.state.jobs["req-000001"]
     assert len(job.done) == 4
-    assert scheduler.state.expected(job) == GUESS_S
+    assert scheduler.state.expected_run_s(job) == GUESS_S
 
 
 def test_tasks_that_the_new_leader_placed_do_teach_run_times() -> None:
@@ -44,7 +44,7 @@
     for task in range(2):
         cluster.finish(f"req-000002/{task}")
     run_for(cluster, 2.0, cloud=False)
-    assert scheduler.state.expected(scheduler.state.jobs["req-000001"]) < GUESS_S
+    assert scheduler.state.expected_run_s(scheduler.state.jobs["req-000001"]) < GUESS_S
 
 
 def test_stopping_a_recovered_task_loses_more_than_the_time_since_the_failover() -> None:
