--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -198,7 +198,7 @@
                 log.info("leader stepping down: fencing_token=%d term=%d", self.fencing_token, self.term)
             self.clear()
 
-    def verified(self, as_of: float, term: int) -> None:
+    def record_verification(self, as_of: float, term: int) -> None:
         """Record that a read sent at `as_of` returned the leadership record of this term, and that every
         cancellation committed before `as_of` has been applied. Takes the lock."""
         with self.lock:
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -120,7 +120,7 @@
     def record_verification(self, as_of: float, term: int) -> None:
         """Record that a read sent at `as_of` (steady clock) returned the leadership record of `term`, and
         that all cancellations up to then have been applied."""
-        self.state.verified(as_of, term)
+        self.state.record_verification(as_of, term)
 
     def staleness_limit(self) -> float:
         """Return the maximum age, in seconds, of the view from which a controller may answer heartbeats."""
