--- a/bayford/coordination/leader/job_records.py
+++ b/bayford/coordination/leader/job_records.py
@@ -154,7 +154,7 @@
             machine = state.machine_named(machine_name, now)
             placement = state.make_placement(job, task, attempt, machine, epoch)
             placement.durable = True
-            state.book(job, machine, placement)
+            state.open_placement(job, machine, placement)
             if job.cancelled:  # the cancellation still applies under the new leader
                 state.stop(placement, 0.0)
 
--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -206,11 +206,11 @@
                 self.verified_at = max(self.verified_at, as_of)
 
     def make_placement(self, job: Job, task: int, attempt: int, machine: Machine, epoch: int) -> Placement:
-        """Return a new placement, which reserves no capacity until `book` is called."""
+        """Return a new placement, which reserves no capacity until `open_placement` is called."""
         task_id = workers.task_name(job.spec.id, task)
         return Placement(job, task, attempt, machine.index, epoch, task_id)
 
-    def book(self, job: Job, machine: Machine, placement: Placement) -> None:
+    def open_placement(self, job: Job, machine: Machine, placement: Placement) -> None:
         """Open a placement: reserve capacity on its machine and in its team's quota until `close`."""
         job.open[placement.task] = placement
         machine.open[placement.key] = placement
--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -212,7 +212,7 @@
             attempt = self._state.next_attempt
         self._state.next_attempt = max(self._state.next_attempt, attempt + 1)
         placement = self._state.make_placement(job, task, attempt, machine, machine.epoch)
-        self._state.book(job, machine, placement)
+        self._state.open_placement(job, machine, placement)
         self._state.touch(job, task)
         self._state.events.on_task_placed(placement)
         placement.unpreemptable = unpreemptable
