--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -235,7 +235,7 @@
         self.quotas[job.team].release(job.spec)
         if not machine.open:
             machine.idle_since = now
-        self.touch(job, placement.task)
+        self.mark_dirty(job, placement.task)
         if job.cancelled:
             self.queue_completion(job)
         elif job.is_service and placement.running_since is not None:
@@ -250,7 +250,7 @@
         self.stopping[placement] = None
         self.events.on_stop_requested(placement.machine)
 
-    def touch(self, job: Job, task: int) -> None:
+    def mark_dirty(self, job: Job, task: int) -> None:
         """Mark the task's state as changed, so that the next commit writes it."""
         self.dirty.setdefault(job.spec.id, set()).add(task)
 
--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -213,7 +213,7 @@
         self._state.next_attempt = max(self._state.next_attempt, attempt + 1)
         placement = self._state.make_placement(job, task, attempt, machine, machine.epoch)
         self._state.open_placement(job, machine, placement)
-        self._state.touch(job, task)
+        self._state.mark_dirty(job, task)
         self._state.events.on_task_placed(placement)
         placement.unpreemptable = unpreemptable
         placement.placed_at = now
