--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -302,7 +302,7 @@
         return None if index is None else self.quotas[index]
 
     @property
-    def quiet_s(self) -> float:
+    def max_heartbeat_age_s(self) -> float:
         """Seconds without a heartbeat after which a machine receives no replica and no migrated task."""
         return self.policy.service_quiet_heartbeats * self.settings.facts.workers.heartbeat_interval_s
 
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -115,7 +115,9 @@
         for machine in state.machines.values():
             if machine.registered and machine.type is None:
                 self._log_unknown_type(machine)
-            elif machine.reserved_until <= now and snapshot_of(machine, now).accepts(state.quiet_s):
+            elif machine.reserved_until <= now and snapshot_of(machine, now).accepts(
+                state.max_heartbeat_age_s
+            ):
                 accepting.append(machine)
         return [snapshot_of(machine, now) for machine in self._balancer.sample_machines(accepting)]
 
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -175,7 +175,7 @@
         state = self._state
         now = search.now
         zone_counts = placement_rules.placements_by_zone(waiting, state.zone_of)
-        max_silence_s = state.quiet_s
+        max_silence_s = state.max_heartbeat_age_s
         skip_ending = waiting.spec.priority < URGENT  # non-urgent work does not stop tasks that end soon
         options: list[preemption.PreemptionOption] = []
         candidates = placement_rules.candidates(waiting, search.machines, zone_counts, now)
--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -157,7 +157,7 @@
     def _place_service(self, job: Job, count: int, machines: list[Machine], now: float) -> None:
         """Place replicas of a service one by one, because each placement changes which machine is best for
         the next."""
-        max_silence_s = self._state.quiet_s
+        max_silence_s = self._state.max_heartbeat_age_s
         machines = [m for m in machines if placement_rules.is_stable(m, now, max_silence_s)]
         quota = self._state.quotas[job.team]
         while job.waiting and count > 0 and quota.allows(job.spec):
