--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -46,7 +46,7 @@
             and machine.reserved_until <= now
             and machine.backoff_until <= now
         ]
-        state.balance_asked += 1
+        state.balancing_rounds += 1
         free_cpus = sum(machine.free_cpus for machine in usable)
         running = sum(len(machine.open) for machine in state.machines.values())
         max_moves = tempered.budget(running, state.policy.balance_share)
--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -165,7 +165,7 @@
         self.refusals = 0  # starts that workers refused because their machines were full
         self.starts = 0  # start commands sent
         self.balanced_at = NEVER
-        self.balance_asked = 0  # rounds in which tasks waited although their team had headroom
+        self.balancing_rounds = 0  # rounds in which tasks waited although their team had headroom
         self.balance_tried = 0  # jobs in those rounds for which migrations were searched for
         self.preempt_at = NEVER  # earliest time of the next search for preemptions
         self.spread_at = NEVER  # earliest time of the next search for a migration that spreads load
--- a/bayford/coordination/leader/scheduling_queue.py
+++ b/bayford/coordination/leader/scheduling_queue.py
@@ -135,7 +135,7 @@
         registered = sum(machine.registered for machine in state.machines.values())
         lines.append(
             f"scheduler: jobs_waiting={len(waiting)} tasks_placed={running} machines={len(state.machines)} "
-            f"registered={registered} refusals={state.refusals} balancer_asked={state.balance_asked} "
+            f"registered={registered} refusals={state.refusals} balancer_asked={state.balancing_rounds} "
             f"balancer_tried={state.balance_tried} migrations={state.moves} starts={state.starts}"
         )
         return lines
