--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -102,7 +102,7 @@
         allowed_machines = placement_rules.candidates(job, usable, zone_counts, now)
         if any(machine.has_room(spec) for machine in allowed_machines):
             return None  # a task fits without migrations and will be placed in a coming round
-        state.balance_tried += 1
+        state.balancing_jobs += 1
         demand = (spec.cpus, spec.gpus, spec.mem_gb)
         counts = tempered.Counts(state.policy.balance_trials, state.policy.balance_iterations, max_moves)
 
--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -166,7 +166,7 @@
         self.starts = 0  # start commands sent
         self.balanced_at = NEVER
         self.balancing_rounds = 0  # rounds in which tasks waited although their team had headroom
-        self.balance_tried = 0  # jobs in those rounds for which migrations were searched for
+        self.balancing_jobs = 0  # jobs in those rounds for which migrations were searched for
         self.preempt_at = NEVER  # earliest time of the next search for preemptions
         self.spread_at = NEVER  # earliest time of the next search for a migration that spreads load
         self.images_at = NEVER  # when `local_images` was computed
