--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -181,7 +181,7 @@
 
     def _reconcile_listed(self, entry: Listed, began: float, now: float) -> None:
         is_new = self._state.machine_names.find(entry.name) not in self._state.machines
-        machine = self._state.machine_named(entry.name, now)
+        machine = self._state.get_or_add_machine(entry.name, now)
         if is_new:
             log.info("machine found in the cloud's list: machine=%s phase=%s", entry.name, entry.phase)
         machine.launched_at = min(machine.launched_at, began - entry.age_s)
@@ -191,7 +191,7 @@
             machine.zone = self._state.zones.index(entry.zone)
             machine.spot = entry.spot
         if machine.type is None:
-            self._state.learn_type(machine, entry.type)
+            self._state.set_machine_type(machine, entry.type)
         if entry.phase == "failed":
             machine.quarantined = machine.lost = True
 
@@ -220,11 +220,11 @@
             for name in names:
                 if name in self._state.deleted_machines:
                     continue
-                machine = self._state.machine_named(name, now)
+                machine = self._state.get_or_add_machine(name, now)
                 machine.launched_at = min(machine.launched_at, began)
                 machine.zone = pool.zone
                 machine.spot = pool.spot
-                self._state.learn_type(machine, request.type)
+                self._state.set_machine_type(machine, request.type)
 
     def on_launch_failed(self, request: LaunchRequest) -> None:
         """Handles a launch request that was not sent. The pool is not marked as refused by the cloud."""
@@ -257,7 +257,7 @@
                 for placement in list(machine.open.values()):
                     self._state.close(machine, placement, now)
                     placement.job.requeue(placement.task)
-                self._state.seen.pop(machine.index, None)
+                self._state.reported_phases.pop(machine.index, None)
                 self._state.capacity_index.remove(machine)
                 self._state.events.on_machine_deleted(machine.index)
                 self._state.reclaim_pending.pop(machine.index, None)
--- a/bayford/coordination/leader/heartbeat_handler.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -44,7 +44,7 @@
             if not state.leader or not state.complete or heartbeat.machine in state.deleted_machines:
                 return None
             now = state.clock()
-            machine = state.machine_named(heartbeat.machine, now)
+            machine = state.get_or_add_machine(heartbeat.machine, now)
             order = (heartbeat.epoch, heartbeat.sequence)
             if order <= (machine.epoch, machine.sequence) and machine.registered:
                 # A newer heartbeat arrived first, for example the response to a direct command. This one has
@@ -61,7 +61,7 @@
                 placement = machine.open.get((task.task_id, task.attempt))
                 if placement is not None:
                     self._tasks.reconcile(machine, placement, task, now)
-            state.seen[machine.index] = phases
+            state.reported_phases[machine.index] = phases
             self._close_unstarted(machine, phases, after)
             if not machine.open and machine.idle_since <= 0:
                 machine.idle_since = now
@@ -124,7 +124,7 @@
         machine.zone = self._state.zones.index(heartbeat.zone)
         machine.spot = heartbeat.spot
         machine.idle_since = now
-        self._state.learn_type(machine, heartbeat.type)
+        self._state.set_machine_type(machine, heartbeat.type)
         self._state.capacity_index.update(machine)
 
     def _on_new_epoch(self, machine: Machine, epoch: int, now: float) -> None:
@@ -137,7 +137,7 @@
             log.info("lease expired: machine=%s epoch=%d tasks_lost=%d", machine.name, epoch, len(lost))
         machine.epoch = epoch
         machine.sequence = -1
-        self._state.seen[machine.index] = {}
+        self._state.reported_phases[machine.index] = {}
         for placement in lost:
             self._state.close(machine, placement, now)
             placement.job.requeue(placement.task)
--- a/bayford/coordination/leader/job_records.py
+++ b/bayford/coordination/leader/job_records.py
@@ -151,7 +151,7 @@
     def _load_placements(self, job: Job, progress: Progress, now: float) -> None:
         state = self._state
         for task, (attempt, machine_name, epoch) in progress.open.items():
-            machine = state.machine_named(machine_name, now)
+            machine = state.get_or_add_machine(machine_name, now)
             placement = state.make_placement(job, task, attempt, machine, epoch)
             placement.durable = True
             state.open_placement(job, machine, placement)
--- a/bayford/coordination/leader/machine_registry.py
+++ b/bayford/coordination/leader/machine_registry.py
@@ -37,13 +37,13 @@
         self.capacity_index = CapacityIndex()  # machines with free CPUs or GPUs
         self.reclaim_pending: dict[int, Machine] = {}  # by machine index: with a reclaim notice
         # By machine index: the phase of each attempt in the last heartbeat.
-        self.seen: dict[int, dict[AttemptKey, str]] = {}
+        self.reported_phases: dict[int, dict[AttemptKey, str]] = {}
         self.deleted_machines: set[str] = set()  # names; late heartbeats from these machines are ignored
         # Image names by machine name, from the last load summary.
         self.summarized_images: Mapping[str, Sequence[str]] = {}
         self._image_gb: dict[int, float] = {}  # size by image index
 
-    def machine_named(self, name: str, now: float) -> Machine:
+    def get_or_add_machine(self, name: str, now: float) -> Machine:
         """Return the machine with this name, adding one first seen at `now` (steady clock) if unknown."""
         index = self.machine_names.index(name)
         machine = self.machines.get(index)
@@ -53,10 +53,10 @@
             for image in machine.images:
                 self.capacity_index.holds(machine, image)
             self.machines[index] = machine
-            self.seen[index] = {}
+            self.reported_phases[index] = {}
         return machine
 
-    def learn_type(self, machine: Machine, type_name: str) -> None:
+    def set_machine_type(self, machine: Machine, type_name: str) -> None:
         """Set a machine's type and thereby its size, unless the type is already set or not in the catalog."""
         index = self.type_names.index(type_name)
         if machine.type is not None or index >= len(self.types):
@@ -71,18 +71,18 @@
         machine.free_mem += machine_type.mem_gb
         self.capacity_index.update(machine)
 
-    def use_image(self, machine: Machine, job: Job, there: bool) -> None:
-        """Record that the machine uses the job's image; `there` says whether it has been fetched.
+    def use_image(self, machine: Machine, job: Job, is_fetched: bool) -> None:
+        """Record that the machine uses the job's image; `is_fetched` says whether it has been fetched.
 
         A machine evicts the least recently used images when its image cache is full; this model of the cache
         does the same.
         """
         was_fetched = machine.images.pop(job.image, False)
-        machine.images[job.image] = was_fetched or there
+        machine.images[job.image] = was_fetched or is_fetched
         self.capacity_index.holds(machine, job.image)
         self._image_gb[job.image] = job.spec.image_gb
         cache_gb = self.types[machine.type].cache_gb if machine.type is not None else 0.0
-        if was_fetched or not there or not cache_gb:
+        if was_fetched or not is_fetched or not cache_gb:
             return
         used = {placement.job.image for placement in machine.open.values()} | {job.image}
         excess_gb = sum(self._image_gb.get(image, 0.0) for image in machine.images) - cache_gb
--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -218,6 +218,6 @@
         placement.unpreemptable = unpreemptable
         placement.placed_at = now
         job.placed_at = now
-        self._state.use_image(machine, job, there=False)
+        self._state.use_image(machine, job, is_fetched=False)
         if machine.reserved_for == job.spec.id:
             machine.reserved_until = 0.0
--- a/bayford/coordination/leader/task_reconciliation.py
+++ b/bayford/coordination/leader/task_reconciliation.py
@@ -40,7 +40,7 @@
     def _on_running(self, machine: Machine, placement: Placement, now: float) -> None:
         if placement.running_since is None:
             placement.running_since = now - self._assumed_run_s(placement)
-            self._state.use_image(machine, placement.job, there=True)
+            self._state.use_image(machine, placement.job, is_fetched=True)
             if placement.job.is_service and placement.placed_here:
                 self._log_replica_running(machine, placement, now)
         elif (
@@ -106,7 +106,7 @@
         job = placement.job
         job.done.add(placement.task)
         self._state.events.on_task_done(placement)
-        self._state.use_image(machine, job, there=True)
+        self._state.use_image(machine, job, is_fetched=True)
         machine.completed_tasks += 1
         machine.failed_jobs.clear()
         if placement.running_since is not None and placement.placed_here:
--- a/bayford/coordination/leader/worker_commands.py
+++ b/bayford/coordination/leader/worker_commands.py
@@ -36,7 +36,7 @@
             machine = self._state.machines.get(index)
             if machine is None or not self._state.leader:
                 return PendingCommands([], False)
-            phases = self._state.seen[index]
+            phases = self._state.reported_phases[index]
             commands = self._list_stops_and_reaps(machine, phases)
             gated = self._add_starts(commands, machine, phases, arrival)
             return PendingCommands(commands, gated)
