--- a/bayford/coordination/leadership/membership.py
+++ b/bayford/coordination/leadership/membership.py
@@ -51,7 +51,7 @@
         return self.leader == name and self.incarnation == incarnation
 
 
-def lacks_failover_neighbour(name: str, zones: dict[str, str]) -> bool:
+def is_next_controller_in_same_zone(name: str, zones: dict[str, str]) -> bool:
     """Whether the next controller by name is in the same zone as `name`, although there are several zones.
 
     A worker whose heartbeat is not answered tries the next controller after 4 s, and after 1 s more on each
@@ -182,7 +182,7 @@
         """
         older_peers = self._older_peers()
         candidates = sorted(self.live_members(), key=lambda name: (name in older_peers, name))
-        delay_s = SAME_ZONE_DELAY_S if lacks_failover_neighbour(self.name, self._zones) else 0.0
+        delay_s = SAME_ZONE_DELAY_S if is_next_controller_in_same_zone(self.name, self._zones) else 0.0
         return candidates.index(self.name) * FAILOVER_STAGGER_S + delay_s
 
     def should_replace_older_leader(self) -> bool:
--- a/tests/test_leadership_transfer.py
+++ b/tests/test_leadership_transfer.py
@@ -7,7 +7,7 @@
 from fakes.worker import FakeWorker
 
 from bayford.clock import NEVER
-from bayford.coordination.leadership.membership import lacks_failover_neighbour
+from bayford.coordination.leadership.membership import is_next_controller_in_same_zone
 from bayford.coordination.leadership.transfer import WorkerContact, successor
 from bayford.storage import records
 from bayford.storage.key_value_store import Put
@@ -197,9 +197,9 @@
 
 def test_the_leaders_failover_neighbour_should_be_in_the_other_zone() -> None:
     zones = {f"n{n}": "east" if n % 2 else "west" for n in range(7)}
-    assert [name for name in sorted(zones) if lacks_failover_neighbour(name, zones)] == ["n6"], (
+    assert [name for name in sorted(zones) if is_next_controller_in_same_zone(name, zones)] == ["n6"], (
         "n0 is next, and west too"
     )
-    assert not any(lacks_failover_neighbour(name, {"n0": "a", "n1": "a"}) for name in ("n0", "n1")), (
+    assert not any(is_next_controller_in_same_zone(name, {"n0": "a", "n1": "a"}) for name in ("n0", "n1")), (
         "with one zone it makes no difference"
     )
