--- a/bayford/coordination/leadership/manager.py
+++ b/bayford/coordination/leadership/manager.py
@@ -127,7 +127,7 @@
         window_s = transfer.contact_window_s(self._worker_settings.heartbeat_interval_s)
         contact = self._scheduler.worker_contact(now - window_s)
         candidates = set(self._membership.live_members()) - self._peers.older() - {self._membership.name}
-        successor = transfer.successor(contact, candidates)
+        successor = transfer.choose_successor(contact, candidates)
         if successor is None:
             return
         self._transfer_attempted_at = now
--- a/bayford/coordination/leadership/transfer.py
+++ b/bayford/coordination/leadership/transfer.py
@@ -29,7 +29,7 @@
     return max(MIN_WINDOW_S, WINDOW_HEARTBEAT_INTERVALS * heartbeat_interval_s)
 
 
-def successor(contact: WorkerContact, candidates: Collection[str]) -> str | None:
+def choose_successor(contact: WorkerContact, candidates: Collection[str]) -> str | None:
     """Returns the controller to transfer leadership to, or None.
 
     It must relay for more than half of the machines in contact. The number of machines in direct contact with
--- a/tests/test_leadership_transfer.py
+++ b/tests/test_leadership_transfer.py
@@ -8,7 +8,7 @@
 
 from bayford.clock import NEVER
 from bayford.coordination.leadership.membership import is_next_controller_in_same_zone
-from bayford.coordination.leadership.transfer import WorkerContact, successor
+from bayford.coordination.leadership.transfer import WorkerContact, choose_successor
 from bayford.storage import records
 from bayford.storage.key_value_store import Put
 
@@ -192,7 +192,7 @@
 def test_the_successor_receives_most_heartbeats_and_the_leader_almost_none(
     direct: int, relayed: dict[str, int], expected: str | None
 ) -> None:
-    assert successor(WorkerContact(direct, relayed), OTHERS) == expected
+    assert choose_successor(WorkerContact(direct, relayed), OTHERS) == expected
 
 
 def test_the_leaders_failover_neighbour_should_be_in_the_other_zone() -> None:
