--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -141,7 +141,7 @@
             clock,
             zones,
             limits=self.limits,
-            older_peers=self.peers.older,
+            older_peers=self.peers.peers_of_older_release,
             feature_names=[ADMISSION] if self.scheduler.policy.admission else [],
         )
         self.connectivity = Connectivity(self.membership, self.peers, clock)
@@ -388,7 +388,7 @@
         """
         if self.watch_cache.revision < 0 or self.connectivity.is_isolated():
             return False
-        return self.connectivity.store_reachable() or not self.peers.served()
+        return self.connectivity.store_reachable() or not self.peers.served_peers()
 
     def submit(self, body: bytes) -> Reply:
         """Accept a job."""
--- a/bayford/coordination/leader/scaling_loop.py
+++ b/bayford/coordination/leader/scaling_loop.py
@@ -80,7 +80,7 @@
             self._connectivity.store_reachable(),
             self._clock() - self._listening_since(),
         )
-        puts = self._scheduler.monitor_zones(facts, self._peers.reach_by_zone())
+        puts = self._scheduler.monitor_zones(facts, self._peers.reachability_by_zone())
         if not puts:
             return
         try:
--- a/bayford/coordination/leadership/connectivity.py
+++ b/bayford/coordination/leadership/connectivity.py
@@ -28,4 +28,4 @@
         answered. In an outage the state service would still refuse requests, which counts as an answer.
         """
         last_contact_at = max(self._membership.last_reply_at, self._peers.last_status_at, self._started_at)
-        return bool(self._peers.asks) and self._clock() - last_contact_at > ISOLATED_S
+        return bool(self._peers.pollers) and self._clock() - last_contact_at > ISOLATED_S
--- a/bayford/coordination/leadership/manager.py
+++ b/bayford/coordination/leadership/manager.py
@@ -126,7 +126,11 @@
             return
         window_s = transfer.contact_window_s(self._worker_settings.heartbeat_interval_s)
         contact = self._scheduler.worker_contact(now - window_s)
-        candidates = set(self._membership.live_members()) - self._peers.older() - {self._membership.name}
+        candidates = (
+            set(self._membership.live_members())
+            - self._peers.peers_of_older_release()
+            - {self._membership.name}
+        )
         successor = transfer.choose_successor(contact, candidates)
         if successor is None:
             return
--- a/bayford/coordination/leadership/peers.py
+++ b/bayford/coordination/leadership/peers.py
@@ -23,14 +23,14 @@
     def __init__(
         self,
         name: str,
-        asks: dict[str, PollStatus],
+        pollers: dict[str, PollStatus],
         zones: Mapping[str, str],
         release: int,
         clock: Callable[[], float],
     ) -> None:
-        """`asks`: the function that polls each other controller. `zones`: the zone of each controller,
+        """`pollers`: the function that polls each other controller. `zones`: the zone of each controller,
         including this one. `release`: the release of this controller."""
-        self.asks = asks
+        self.pollers = pollers
         self.release = release
         self.releases: dict[str, int] = {}  # by controller, as of its last status
         self.unreachable: set[str] = set()  # controllers that did not answer the last poll
@@ -43,7 +43,7 @@
     def poll_all(self) -> Iterator[mesh.Status]:
         """Poll the controllers one after the other and yield each status as soon as it arrives, because a
         controller that is down takes the whole time-out."""
-        for name, poll in self.asks.items():
+        for name, poll in self.pollers.items():
             status = poll(POLL_TIMEOUT_S)
             if status is None:
                 self.unreachable.add(name)
@@ -60,20 +60,20 @@
             return
         self.releases[name] = release
         log.info("peer release: member=%s release=%d own_release=%d", name, release, self.release)
-        if len(self.releases) == len(self.asks) and set(self.releases.values()) == {self.release}:
-            log.info("upgrade complete: controllers=%d release=%d", len(self.asks) + 1, self.release)
+        if len(self.releases) == len(self.pollers) and set(self.releases.values()) == {self.release}:
+            log.info("upgrade complete: controllers=%d release=%d", len(self.pollers) + 1, self.release)
 
-    def older(self) -> set[str]:
+    def peers_of_older_release(self) -> set[str]:
         """Returns the other controllers whose last status reported an older release than this one's."""
         return {name for name, release in self.releases.items() if release < self.release}
 
-    def served(self) -> list[str]:
+    def served_peers(self) -> list[str]:
         """Returns the other controllers that the state service serves, those of the same zone first."""
         now = self._clock()
         served = [name for name, at in self.served_at.items() if now - at <= SERVED_TTL_S]
         return sorted(served, key=lambda name: (self._zones.get(name) != self._zones[self._name], name))
 
-    def reach_by_zone(self) -> dict[str, str]:
+    def reachability_by_zone(self) -> dict[str, str]:
         """Returns how many controllers of each zone are reachable, by zone, as text for the log."""
         reach = {}
         for zone in set(self._zones.values()):
--- a/bayford/coordination/leadership/verification.py
+++ b/bayford/coordination/leadership/verification.py
@@ -102,5 +102,5 @@
             and not self._membership.is_superseded
             and not self._connectivity.is_isolated()
             and not self._connectivity.store_reachable()
-            and not self._peers.served()
+            and not self._peers.served_peers()
         )
--- a/bayford/coordination/workers/heartbeat_service.py
+++ b/bayford/coordination/workers/heartbeat_service.py
@@ -138,7 +138,7 @@
             # Without the store this controller can neither pass the heartbeat on nor read the commands, and
             # the leader would treat the machine as unresponsive. Redirect to a reachable controller that has
             # the store.
-            candidates = [name for name in self._peers.served() if name != record.leader]
+            candidates = [name for name in self._peers.served_peers() if name != record.leader]
             if candidates:
                 return candidates[0]
         return None
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -55,7 +55,7 @@
     cluster = started_cluster(nodes=2)
     assert cluster.nodes["n1"].is_healthy()
     cluster.store.unavailable_to.add("n1")
-    cluster.nodes["n1"].peers.asks = {"n0": lambda timeout_s: cluster.nodes["n0"].status()}
+    cluster.nodes["n1"].peers.pollers = {"n0": lambda timeout_s: cluster.nodes["n0"].status()}
     for _ in range(5):
         cluster.step(1.0)
         cluster.nodes["n1"].peer_poller.step()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -321,7 +321,10 @@
         assert cluster.leader() == "n2", "not handed to one that is still to go, nor back"
         assert len(running_tasks(cluster)) == 3
     assert cluster.nodes["n2"].membership.record.fencing_token == fencing_token + 1
-    assert not cluster.nodes["n0"].peers.older() and not cluster.nodes["n2"].peers.older()
+    assert (
+        not cluster.nodes["n0"].peers.peers_of_older_release()
+        and not cluster.nodes["n2"].peers.peers_of_older_release()
+    )
 
 
 def test_no_failover_from_an_old_leader_while_any_controller_is_unreachable() -> None:
