--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -40,7 +40,7 @@
     def is_verified_leader(self) -> bool:
         """Returns whether this controller is verified to be the leader and may act on its present state."""
 
-    def no_competing_leader(self) -> bool:
+    def has_no_competing_leader(self) -> bool:
         """Returns whether no controller can verify that it is the leader, and this one was the last leader.
 
         The last leader is taken from the leadership record.
@@ -183,7 +183,9 @@
         if not self._leadership.is_verified_leader():
             # This process may have been paused since the decision, and another leader may manage the
             # machines by now.
-            overdue = self._scheduler.overdue_machines() if self._leadership.no_competing_leader() else set()
+            overdue = (
+                self._scheduler.overdue_machines() if self._leadership.has_no_competing_leader() else set()
+            )
             self._scheduler.on_deletion_unconfirmed([name for name in names if name not in overdue])
             names = [name for name in names if name in overdue]
             if not names:
--- a/bayford/coordination/leader/scaling_loop.py
+++ b/bayford/coordination/leader/scaling_loop.py
@@ -69,7 +69,7 @@
         if self._verifier.is_verified_leader():
             return self._scheduler.scaling_step(self._listening_since())
         self._accepting_since = self._clock()
-        if self._verifier.no_competing_leader():
+        if self._verifier.has_no_competing_leader():
             return self._scheduler.request_overdue_deletions()
         return ScalingActions()
 
--- a/bayford/coordination/leadership/verification.py
+++ b/bayford/coordination/leadership/verification.py
@@ -88,7 +88,7 @@
         self._signals.verified.set()
         return True
 
-    def no_competing_leader(self) -> bool:
+    def has_no_competing_leader(self) -> bool:
         """Whether no other controller can have a newer view, although this leader's view may be too old.
 
         This holds if the state service is unavailable to every reachable controller and no higher fencing
--- a/tests/test_cancellation_under_faults.py
+++ b/tests/test_cancellation_under_faults.py
@@ -125,15 +125,15 @@
     assert cluster.cancel(other, "req-000001") == "aborted"
     cluster.nodes[other].notices.send()
     assert leader.scheduler.state.jobs["req-000001"].cancelled
-    assert not leader.verifier.no_competing_leader()
+    assert not leader.verifier.has_no_competing_leader()
     cluster.store.down = True
     run_for(cluster, 8.0, cloud=False)  # by then no other controller reports that the store serves it
-    assert leader.verifier.no_competing_leader()
+    assert leader.verifier.has_no_competing_leader()
     leader.peers.served_at[other] = cluster.clock.now
-    assert not leader.verifier.no_competing_leader(), "the store serves another controller"
+    assert not leader.verifier.has_no_competing_leader(), "the store serves another controller"
     leader.peers.served_at.clear()
     leader.membership.observe_token(leader.membership.record.fencing_token + 1)
-    assert not leader.verifier.no_competing_leader(), "a higher fencing token was seen"
+    assert not leader.verifier.has_no_competing_leader(), "a higher fencing token was seen"
 
 
 def test_a_relay_stops_cancelled_tasks_on_a_stale_watch_cache() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -142,7 +142,7 @@
     def is_verified_leader(self) -> bool:
         return True
 
-    def no_competing_leader(self) -> bool:
+    def has_no_competing_leader(self) -> bool:
         return False
 
 
