--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -361,7 +361,7 @@
             self.name,
             record.fencing_token,
             record.leader,
-            self.connectivity.store_reachable(),
+            self.connectivity.is_store_reachable(),
             self.release,
             submitted,
         )
@@ -388,7 +388,7 @@
         """
         if self.watch_cache.revision < 0 or self.connectivity.is_isolated():
             return False
-        return self.connectivity.store_reachable() or not self.peers.served_peers()
+        return self.connectivity.is_store_reachable() or not self.peers.served_peers()
 
     def submit(self, body: bytes) -> Reply:
         """Accept a job."""
--- a/bayford/coordination/leader/scaling_loop.py
+++ b/bayford/coordination/leader/scaling_loop.py
@@ -77,7 +77,7 @@
         """Updates the states of the zones and writes the records that have changed."""
         facts = LeadershipFacts(
             self._verifier.is_verified_leader(),
-            self._connectivity.store_reachable(),
+            self._connectivity.is_store_reachable(),
             self._clock() - self._listening_since(),
         )
         puts = self._scheduler.monitor_zones(facts, self._peers.reachability_by_zone())
--- a/bayford/coordination/leadership/connectivity.py
+++ b/bayford/coordination/leadership/connectivity.py
@@ -17,7 +17,7 @@
         self._clock = clock
         self._started_at = clock()
 
-    def store_reachable(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Whether the state service has executed a membership request within the last `SERVED_TTL_S`."""
         return self._clock() - self._membership.last_renewed_at < SERVED_TTL_S
 
--- a/bayford/coordination/leadership/manager.py
+++ b/bayford/coordination/leadership/manager.py
@@ -99,7 +99,7 @@
         if (
             now - self._started_at >= REPLACEMENT_DELAY_S
             and now - self._replacement_attempted_at >= REPLACEMENT_DELAY_S
-            and self._connectivity.store_reachable()
+            and self._connectivity.is_store_reachable()
             and not self._peers.unreachable & set(self._membership.live_members())
             and self._membership.should_replace_older_leader()
         ):
--- a/bayford/coordination/leadership/verification.py
+++ b/bayford/coordination/leadership/verification.py
@@ -101,6 +101,6 @@
             and self._membership.record.version == self._scheduler.term
             and not self._membership.is_superseded
             and not self._connectivity.is_isolated()
-            and not self._connectivity.store_reachable()
+            and not self._connectivity.is_store_reachable()
             and not self._peers.served_peers()
         )
--- a/bayford/coordination/workers/heartbeat_service.py
+++ b/bayford/coordination/workers/heartbeat_service.py
@@ -134,7 +134,7 @@
         )
         if not self._relay.should_answer(heartbeat.machine, leader_unreachable, has_lost_leader):
             return record.leader
-        if not self._connectivity.store_reachable():
+        if not self._connectivity.is_store_reachable():
             # Without the store this controller can neither pass the heartbeat on nor read the commands, and
             # the leader would treat the machine as unresponsive. Redirect to a reachable controller that has
             # the store.
