--- a/bayford/coordination/store_limits.py
+++ b/bayford/coordination/store_limits.py
@@ -34,7 +34,7 @@
             self.write_rps = min(self.write_rps, announced.write_rps or state.write_rps)
             self.rps = min(self.rps, announced.rps or state.rps)
 
-    def too_large(self, changes: int, longest_bytes: int) -> None:
+    def lower_limits(self, changes: int, longest_bytes: int) -> None:
         """Lower the limits after a transaction was refused for its size. It had `changes` changes, and its
         longest value had `longest_bytes` bytes.
 
