--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -106,7 +106,7 @@
             return Verdict(None, conditions)
         text = "more submissions are admitted than can be written in a second"
         retry_after_s = URGENT_RATE_LIMITED_RETRY_S if is_urgent else RATE_LIMITED_RETRY_S
-        return Verdict(Reply(SERVICE_UNAVAILABLE, jobs.error(text), retry_after_s), conditions)
+        return Verdict(Reply(SERVICE_UNAVAILABLE, jobs.encode_error(text), retry_after_s), conditions)
 
     def on_written(self) -> None:
         """Record that the key-value store has executed the transaction of an acceptance."""
@@ -159,5 +159,5 @@
 
 
 def _refusal(flow: Flow, level: Level, revision: int, retry_after_s: int) -> Reply:
-    body = jobs.refusal(flow.job_class, flow.team, level.reason, level.number, revision)
+    body = jobs.encode_refusal(flow.job_class, flow.team, level.reason, level.number, revision)
     return Reply(TOO_MANY_REQUESTS, body, retry_after_s)
--- a/bayford/coordination/api/job_requests.py
+++ b/bayford/coordination/api/job_requests.py
@@ -94,7 +94,7 @@
         try:
             return answer()
         except UnavailableError as error:
-            return Reply(503, jobs.error(str(error)))
+            return Reply(503, jobs.encode_error(str(error)))
 
     def _refresh_cache(self) -> None:
         """Bring the watch cache up to date with a read of the store that is sent after this call.
@@ -147,19 +147,19 @@
         try:
             spec = jobs.parse_submission(body)
         except jobs.InvalidError as error:
-            return Reply(400, jobs.error(str(error)))
+            return Reply(400, jobs.encode_error(str(error)))
         for _ in range(SUBMIT_ATTEMPTS):
             reply = self._submit_once(spec)
             if reply is not None:
                 return reply
-        return Reply(503, jobs.error("try again"))
+        return Reply(503, jobs.encode_error("try again"))
 
     def _submit_once(self, spec: JobSpec) -> Reply | None:
         """Make one attempt. Returns None if the record or the admission level changed after it was read."""
         self._refresh_cache()
         known = self._watch_cache.job_state(spec.id)
         if known is not None:
-            return Reply(200, jobs.answer(known))
+            return Reply(200, jobs.encode_job_status(known))
         refusal = self._refusal(spec)
         if refusal is not None:
             return refusal
@@ -178,7 +178,7 @@
             accepted = self._accept(record, conditions)
         except TooLargeError:
             return _too_large(size, max_size)
-        return Reply(201, jobs.answer(records.State(record, 0))) if accepted else None
+        return Reply(201, jobs.encode_job_status(records.State(record, 0))) if accepted else None
 
     def _without_unknown_types(self, spec: JobSpec) -> JobSpec:
         """Returns the job without machine types that the cloud does not have.
@@ -194,18 +194,18 @@
         """Returns the answer to a job that this deployment can't accept, None if it can accept the job."""
         types = self._deployment.catalog()
         if not types:
-            return Reply(503, jobs.error("machine types are not known yet"))
+            return Reply(503, jobs.encode_error("machine types are not known yet"))
         quota = self._deployment.team_quota(spec.team)
         if quota is None:
-            return Reply(422, jobs.error(f"unknown team {spec.team}"))
+            return Reply(422, jobs.encode_error(f"unknown team {spec.team}"))
         if not quota.could_ever(spec):
-            return Reply(422, jobs.error(f"it needs more than the limit of team {spec.team}"))
+            return Reply(422, jobs.encode_error(f"it needs more than the limit of team {spec.team}"))
         zones = _zones_that_fit(spec, types)
         if not zones:
-            return Reply(422, jobs.error("a task fits no allowed machine type"))
+            return Reply(422, jobs.encode_error("a task fits no allowed machine type"))
         if spec.shape != ARRAY and spec.spread and spec.tasks > 1 and (spec.one_zone or len(zones) < 2):
             # The tasks of an array may run one after another, but those of a gang or a service run together.
-            return Reply(422, jobs.error("its tasks can't be apart: there is one zone for them"))
+            return Reply(422, jobs.encode_error("its tasks can't be apart: there is one zone for them"))
         return None
 
     def _query(self, job_id: str) -> Reply:
@@ -215,28 +215,30 @@
             self._refresh_cache()
             state = self._watch_cache.job_state(job_id)
         if state is None:
-            return Reply(404, jobs.error("no such job"))
-        return Reply(200, jobs.answer(state))
+            return Reply(404, jobs.encode_error("no such job"))
+        return Reply(200, jobs.encode_job_status(state))
 
     def _cancel(self, job_id: str) -> Reply:
         for _ in range(CANCEL_ATTEMPTS):
             self._refresh_cache()
             state = self._watch_cache.job_state(job_id)
             if state is None:
-                return Reply(404, jobs.error("no such job"))
+                return Reply(404, jobs.encode_error("no such job"))
             if state.record.over:
-                return Reply(200, jobs.answer(state))
+                return Reply(200, jobs.encode_job_status(state))
             cancelled_at = round(self._wall(), 2)
             cancelled = msgspec.structs.replace(state.record, cancelled=cancelled_at, done=state.done)
             if self._write(cancelled, state.version):
                 self._on_cancelled(job_id, cancelled_at)
-                return Reply(200, jobs.answer(records.State(cancelled, 0, 0, state.done)))
-        return Reply(503, jobs.error("the job changes too fast, try again"))
+                return Reply(200, jobs.encode_job_status(records.State(cancelled, 0, 0, state.done)))
+        return Reply(503, jobs.encode_error("the job changes too fast, try again"))
 
 
 def _too_large(size: int, max_size: int) -> Reply:
     """Returns the answer to a job whose record may grow to `size` bytes until the job has ended."""
-    return Reply(400, jobs.error(f"`$`: the job's description takes {size} bytes, more than {max_size}"))
+    return Reply(
+        400, jobs.encode_error(f"`$`: the job's description takes {size} bytes, more than {max_size}")
+    )
 
 
 def _zones_that_fit(spec: JobSpec, types: list[MachineType]) -> set[str]:
--- a/bayford/coordination/workers/heartbeat_service.py
+++ b/bayford/coordination/workers/heartbeat_service.py
@@ -97,14 +97,14 @@
             # The worker still reaches this controller, which can neither read nor write the store, and
             # another controller has taken over as leader or is about to. With this error the worker looks for
             # that one while its lease is still valid.
-            return Reply(503, jobs.error("cut off from the state service and the other controllers"))
+            return Reply(503, jobs.encode_error("cut off from the state service and the other controllers"))
         if not self._knows_newest_leader(heartbeat):
-            return Reply(503, jobs.error("a newer leadership record exists"))
+            return Reply(503, jobs.encode_error("a newer leadership record exists"))
         record = self._membership.record
         if self._membership.is_leader():
             return self._answer_as_leader(heartbeat, arrived_at, sent_after, may_hold)
         if not record.leader or not self._membership.is_live(record.leader, record.incarnation):
-            return Reply(503, jobs.error("no leader yet"))
+            return Reply(503, jobs.encode_error("no leader yet"))
         redirect_to = self._redirect_target(heartbeat, record)
         if redirect_to is not None:
             return Reply(421, workers.redirect(redirect_to))
@@ -149,9 +149,9 @@
         scheduler = self._scheduler
         record = self._membership.record
         if not self._has_recovered(record):
-            return Reply(503, jobs.error("reading the records"))
+            return Reply(503, jobs.encode_error("reading the records"))
         if not self._verifier.await_verified_leader():
-            return Reply(503, jobs.error("leadership not verified"))
+            return Reply(503, jobs.encode_error("leadership not verified"))
         index = scheduler.on_heartbeat(heartbeat, sent_after)
         if index is None:
             return Reply(200, workers.encode_response(record.fencing_token, []))
@@ -165,7 +165,7 @@
             or scheduler.term != record.version
             or not self._verifier.is_verified_leader()
         ):
-            return Reply(503, jobs.error("no longer the leader"))
+            return Reply(503, jobs.encode_error("no longer the leader"))
         scheduler.on_answered(index, heartbeat, commands)
         return Reply(200, workers.encode_response(record.fencing_token, commands))
 
@@ -211,5 +211,5 @@
         # outdated, a worker that has seen a higher one drops this response. A stale view is not sufficient to
         # start tasks. It is sufficient to stop cancelled ones, because a cancellation is final.
         if self._clock() - self._watch_cache.as_of > self._scheduler.staleness_limit():
-            return Reply(503, jobs.error("no view of the state"))
+            return Reply(503, jobs.encode_error("no view of the state"))
         return Reply(200, workers.encode_response(fencing_token, self._relay.stop_commands(heartbeat)))
--- a/bayford/protocol/jobs.py
+++ b/bayford/protocol/jobs.py
@@ -102,7 +102,7 @@
     return value
 
 
-def job_id(text: str) -> str | None:
+def parse_job_id(text: str) -> str | None:
     """Return `text` if it is a well-formed job id, else None."""
     return text if JOB_ID_PATTERN.fullmatch(text) else None
 
@@ -140,7 +140,7 @@
 
 
 def _check_choices(submission: _Submission) -> None:
-    if job_id(submission.id) is None:
+    if parse_job_id(submission.id) is None:
         raise InvalidError("`$.id`: not a job id")
     if submission.shape not in _SHAPES:
         raise InvalidError(f"`$.shape`: unknown shape {submission.shape[:40]!r}")
@@ -164,7 +164,7 @@
         raise InvalidError("`$.builds`: empty or too long")
 
 
-def phase(state: State) -> str:
+def job_phase(state: State) -> str:
     """The job's phase in responses to users."""
     if state.record.cancelled:
         return "aborted"
@@ -173,14 +173,14 @@
     return "running" if state.open else "pending"
 
 
-def answer(state: State) -> bytes:
+def encode_job_status(state: State) -> bytes:
     """The body of the response to a submission, a query or a cancellation."""
     return orjson.dumps(
-        {"id": state.record.spec.id, "phase": phase(state), "done": state.done, "running": state.open}
+        {"id": state.record.spec.id, "phase": job_phase(state), "done": state.done, "running": state.open}
     )
 
 
-def refusal(job_class: str, team: str, reason: str, level: int, revision: int) -> bytes:
+def encode_refusal(job_class: str, team: str, reason: str, level: int, revision: int) -> bytes:
     """The body of a response that refuses a submission because of overload.
 
     `level`: number of the admission level that refuses it; `revision`: the store revision of that level.
@@ -207,7 +207,7 @@
 _priority_decoder = msgspec.json.Decoder(_Priority)
 
 
-def priority_of(body: bytes) -> int:
+def parse_priority(body: bytes) -> int:
     """The priority of a submission that is not validated yet; the lowest if it has no valid priority."""
     try:
         return _PRIORITIES.get(_priority_decoder.decode(body).priority, 0)
@@ -215,6 +215,6 @@
         return 0
 
 
-def error(text: str) -> bytes:
+def encode_error(text: str) -> bytes:
     """The body of any other error response; `text` is cut to 500 characters."""
     return orjson.dumps({"error": text[:500]})
--- a/bayford/transport/http_handlers.py
+++ b/bayford/transport/http_handlers.py
@@ -46,7 +46,7 @@
             return self._health() if request.method == "GET" else _method_not_allowed("GET")
         if path == jobs.SUBMIT_PATH or path.startswith(jobs.SUBMIT_PATH + "/"):
             return self._user(request, path)
-        return Response(404, jobs.error("no such path"))
+        return Response(404, jobs.encode_error("no such path"))
 
     def _health(self) -> Response:
         if self._controller.is_healthy():
@@ -57,7 +57,7 @@
         try:
             heartbeat = workers.parse_heartbeat(request.body)
         except jobs.InvalidError as error:
-            return Response(400, jobs.error(str(error)))
+            return Response(400, jobs.encode_error(str(error)))
         reply = self._controller.heartbeat(
             heartbeat, request.sent_after, may_hold=not request.is_near_connection_limit
         )
@@ -70,17 +70,17 @@
     def _user(self, request: Request, path: str) -> Response:
         route = _user_route(path)
         if route is None:
-            return Response(404, jobs.error("no such path"))
+            return Response(404, jobs.encode_error("no such path"))
         if request.method != route.method:
             return _method_not_allowed(route.method)
-        if route.operation != "submit" and jobs.job_id(route.job_id) is None:
-            return Response(404, jobs.error("no such job"))
+        if route.operation != "submit" and jobs.parse_job_id(route.job_id) is None:
+            return Response(404, jobs.encode_error("no such job"))
         # A request that exceeds the limit is answered at once, with a Retry-After header.
         with self._limit.enter(self._limit_share(request, route)) as entered:
             if entered:
                 response = self._serve(request, route)
             else:
-                response = _retry_later(jobs.error("too many requests in progress"))
+                response = _retry_later(jobs.encode_error("too many requests in progress"))
         if request.is_near_connection_limit:
             response.idle_s = 0.0  # users' connections must not take those that workers need
         return response
@@ -90,7 +90,7 @@
         limit to urgent ones, and to queries and cancellations."""
         if route.operation != "submit" or not self._controller.is_admission_enabled:
             return 1.0
-        return 1.0 if jobs.priority_of(request.body) >= URGENT else NON_URGENT_SHARE
+        return 1.0 if jobs.parse_priority(request.body) >= URGENT else NON_URGENT_SHARE
 
     def _serve(self, request: Request, route: _UserRoute) -> Response:
         reply: Reply
@@ -124,7 +124,7 @@
 
 
 def _method_not_allowed(allowed: str) -> Response:
-    return Response(405, jobs.error(f"use {allowed}"), (("Allow", allowed),))
+    return Response(405, jobs.encode_error(f"use {allowed}"), (("Allow", allowed),))
 
 
 class PeerHandler:
@@ -141,7 +141,7 @@
             try:
                 cancelled = mesh.decode_cancelled(request.body)
             except msgspec.DecodeError as error:
-                return Response(400, jobs.error(str(error)))
+                return Response(400, jobs.encode_error(str(error)))
             self._controller.on_cancellations(cancelled)
             return Response(200, b"{}")
-        return Response(404, jobs.error("no such path"))
+        return Response(404, jobs.encode_error("no such path"))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -35,7 +35,7 @@
 from bayford.config import split_address
 from bayford.coordination.api.acceptance_rate import AcceptanceRateLimiter
 from bayford.coordination.leader.admission_control import decode_sample, encode_sample
-from bayford.protocol.jobs import priority_of
+from bayford.protocol.jobs import parse_priority
 from bayford.protocol.key_value_api import KeyValueApi
 from bayford.storage import records
 from bayford.storage.key_value_store import Put, Row
@@ -363,7 +363,7 @@
     with contextlib.ExitStack() as entered:
         assert [entered.enter_context(limit.enter(0.75)) for _ in range(7)] == [True] * 6 + [False]
         assert [entered.enter_context(limit.enter()) for _ in range(3)] == [True, True, False]
-    assert [priority_of(body) for body in (b'{"rank":"urgent"}', b'{"rank":"odd"}', b"[", b"{}")] == [
+    assert [parse_priority(body) for body in (b'{"rank":"urgent"}', b'{"rank":"odd"}', b"[", b"{}")] == [
         2,
         0,
         0,
