--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -18,7 +18,7 @@
 
 def job_and_task(key: AttemptKey) -> tuple[str, int]:
     """Return the job id and the task number of an attempt."""
-    return workers.split_task(key[0]) or ("", 0)
+    return workers.parse_task_id(key[0]) or ("", 0)
 
 
 class Balancer:
--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -207,7 +207,7 @@
 
     def make_placement(self, job: Job, task: int, attempt: int, machine: Machine, epoch: int) -> Placement:
         """Return a new placement, which reserves no capacity until `open_placement` is called."""
-        task_id = workers.task_name(job.spec.id, task)
+        task_id = workers.format_task_id(job.spec.id, task)
         return Placement(job, task, attempt, machine.index, epoch, task_id)
 
     def open_placement(self, job: Job, machine: Machine, placement: Placement) -> None:
--- a/bayford/coordination/leader/worker_commands.py
+++ b/bayford/coordination/leader/worker_commands.py
@@ -47,7 +47,7 @@
             placement = machine.open.get(key)
             task_id, attempt = key
             if phase == workers.ENDED:
-                job_id, task = workers.split_task(task_id) or ("", 0)
+                job_id, task = workers.parse_task_id(task_id) or ("", 0)
                 if placement is None and not self._state.is_uncommitted(job_id, task):
                     commands.append(workers.Reap(task_id, attempt))
             elif placement is None:
--- a/bayford/coordination/workers/heartbeat_service.py
+++ b/bayford/coordination/workers/heartbeat_service.py
@@ -107,7 +107,7 @@
             return Reply(503, jobs.encode_error("no leader yet"))
         redirect_to = self._redirect_target(heartbeat, record)
         if redirect_to is not None:
-            return Reply(421, workers.redirect(redirect_to))
+            return Reply(421, workers.encode_redirect(redirect_to))
         return self._answer_as_relay(heartbeat)
 
     def _knows_newest_leader(self, heartbeat: workers.Heartbeat) -> bool:
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -132,7 +132,7 @@
         for placement in self._watch_cache.placements_on(heartbeat.machine):
             if placement.epoch != heartbeat.epoch:
                 continue
-            key = (workers.task_name(placement.job, placement.task), placement.attempt)
+            key = (workers.format_task_id(placement.job, placement.task), placement.attempt)
             placed.add(key)
             if not placement.cancelled and key not in reported:
                 commands.append(workers.Start(*key))
@@ -161,7 +161,7 @@
             known_cancelled = set(self._known_cancelled)
         commands: list[workers.Command] = []
         for task in heartbeat.tasks:
-            job_id = (workers.split_task(task.task_id) or ("", 0))[0]
+            job_id = (workers.parse_task_id(task.task_id) or ("", 0))[0]
             cancelled = job_id in known_cancelled or self._watch_cache.is_cancelled(job_id)
             if task.phase != workers.ENDED and cancelled:
                 commands.append(workers.Stop(task.task_id, task.attempt, 0.0))
--- a/bayford/protocol/workers.py
+++ b/bayford/protocol/workers.py
@@ -110,12 +110,12 @@
     return _encoder.encode(_Response(fencing_token, commands))
 
 
-def redirect(member: str | None) -> bytes:
+def encode_redirect(member: str | None) -> bytes:
     """The body of a 421 response. `member`: the leader, None if it is not known."""
     return orjson.dumps({} if member is None else {"foreman": member})
 
 
-def split_task(task_id: str) -> tuple[str, int] | None:
+def parse_task_id(task_id: str) -> tuple[str, int] | None:
     """Split a task id such as `req-7/3` into job id and task number; None for a malformed one."""
     job, slash, number = task_id.rpartition("/")
     if not slash or not number.isdigit():
@@ -123,6 +123,6 @@
     return job, int(number)
 
 
-def task_name(job: str, task: int) -> str:
-    """The id of a task; the inverse of `split_task`."""
+def format_task_id(job: str, task: int) -> str:
+    """The id of a task; the inverse of `parse_task_id`."""
     return f"{job}/{task}"
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -117,7 +117,7 @@
         if command["verb"] == "start":
             if present is not None:
                 return
-            job_id, number = workers.split_task(command["part"])  # type: ignore[misc]
+            job_id, number = workers.parse_task_id(command["part"])  # type: ignore[misc]
             spec = self.cluster.specs.get(job_id)
             attempt = Attempt(command["part"], command["try"], "running")
             self.tasks[key] = attempt
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -105,7 +105,7 @@
         orjson.loads(workers.encode_response(7, [*commands, workers.Reap("req-000398/0", 1)]))
         == GOLDEN["answer"]
     )
-    assert orjson.loads(workers.redirect("n2")) == GOLDEN["redirect"]
+    assert orjson.loads(workers.encode_redirect("n2")) == GOLDEN["redirect"]
 
 
 def test_the_leadership_record_and_the_members_keep_the_form_that_an_old_controller_compares() -> None:
