--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -10,7 +10,7 @@
 from bayford.coordination.leader.scheduling_round import SchedulingRound
 from bayford.coordination.leader.service_capacity import ServiceCapacity
 from bayford.coordination.leader.waiting_demand import WaitingDemand, backlog_s
-from bayford.protocol.cloud_api import Listed
+from bayford.protocol.cloud_api import ListedMachine
 from bayford.scheduling import scaling
 from bayford.scheduling.scaling import Demand, Group, LaunchPlan, MachinePool, PooledMachine
 
@@ -160,7 +160,7 @@
 
     # -- responses of the cloud ------------------------------------------------------------------------
 
-    def on_list(self, listed: Iterable[Listed], began: float) -> None:
+    def on_list(self, listed: Iterable[ListedMachine], began: float) -> None:
         """Processes the cloud's list of machines, requested at `began`.
 
         The list lags: a machine that is missing from it may already be running.
@@ -179,7 +179,7 @@
                 if machine.listed and machine.name not in names:
                     machine.missing_from_lists += 1
 
-    def _reconcile_listed(self, entry: Listed, began: float, now: float) -> None:
+    def _reconcile_listed(self, entry: ListedMachine, began: float, now: float) -> None:
         is_new = self._state.machine_names.find(entry.name) not in self._state.machines
         machine = self._state.get_or_add_machine(entry.name, now)
         if is_new:
--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -14,7 +14,7 @@
 from bayford.coordination.leader.scaling_actions import LaunchRequest, ScalingActions
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.token_bucket import TokenBucket
-from bayford.protocol.cloud_api import Cloud, CloudBusyError, Listed, NoCapacityError
+from bayford.protocol.cloud_api import Cloud, CloudBusyError, ListedMachine, NoCapacityError
 
 log = logging.getLogger(__name__)
 
@@ -105,7 +105,7 @@
         if not self._scheduler.leader:
             return LIST_PERIOD_S
         began = self._clock()
-        listed: list[Listed] = []
+        listed: list[ListedMachine] = []
         pages = 0
         more = True
         while more:
--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -34,7 +34,7 @@
 from bayford.coordination.leadership.transfer import WorkerContact
 from bayford.coordination.store_limits import StoreLimits
 from bayford.protocol import workers
-from bayford.protocol.cloud_api import Listed
+from bayford.protocol.cloud_api import ListedMachine
 from bayford.recovery.zone_health import LeadershipFacts
 from bayford.scheduling.model import MachineType
 from bayford.scheduling.policy import Policy
@@ -230,7 +230,7 @@
         """Return the name, share of CPUs in use and images of each machine, for the other controllers."""
         return self.state.summary()
 
-    def on_list(self, listed: Iterable[Listed], began: float) -> None:
+    def on_list(self, listed: Iterable[ListedMachine], began: float) -> None:
         """Process the cloud's list of machines. `began`: when the list was requested."""
         self.autoscaler.on_list(listed, began)
 
--- a/bayford/protocol/cloud_api.py
+++ b/bayford/protocol/cloud_api.py
@@ -10,7 +10,7 @@
 from bayford.scheduling.model import MachineType
 from bayford.storage.key_value_store import OutcomeUnknownError, UnavailableError
 
-LIST_PAGE = 500  # maximum number of machines in one response of the cloud
+MACHINES_PER_PAGE = 500  # maximum number of machines in one response of the cloud
 MACHINES_PER_DELETE = 100  # maximum number of machines in one delete request
 
 # Sends a request (method, path, body, timeout in seconds) and returns the status and body of the response.
@@ -26,7 +26,7 @@
     """The cloud has no machine of the requested type, zone and purchase model (spot or on-demand)."""
 
 
-class Listed(msgspec.Struct):
+class ListedMachine(msgspec.Struct):
     """One machine in the cloud's list. `age_s`: seconds from its launch request to the time of the list."""
 
     name: str = msgspec.field(name="id")
@@ -58,7 +58,7 @@
 class MachinePage(msgspec.Struct):
     """One page of the cloud's machine list, sorted by name. `more`: whether further pages follow."""
 
-    machines: list[Listed] = msgspec.field(name="docks")
+    machines: list[ListedMachine] = msgspec.field(name="docks")
     more: bool = False
 
 
@@ -138,7 +138,7 @@
 
     def machines(self, since: str) -> MachinePage:
         """One page of the machine list."""
-        path = f"/hosts?since={since}&limit={LIST_PAGE}"
+        path = f"/hosts?since={since}&limit={MACHINES_PER_PAGE}"
         return msgspec.json.decode(self._request("GET", path), type=MachinePage)
 
 
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -4,7 +4,13 @@
 
 from collections.abc import Callable
 
-from bayford.protocol.cloud_api import LIST_PAGE, CloudBusyError, Listed, MachinePage, NoCapacityError
+from bayford.protocol.cloud_api import (
+    MACHINES_PER_PAGE,
+    CloudBusyError,
+    ListedMachine,
+    MachinePage,
+    NoCapacityError,
+)
 from bayford.scheduling.model import MachineType
 from fakes.worker import FakeWorker
 
@@ -71,8 +77,10 @@
             raise CloudBusyError("503")
         self.list_calls += 1
         listed = [
-            Listed(worker.name, "10.0.0.9:9", worker.kind.name, worker.zone, worker.spot, "running", 5.0)
+            ListedMachine(
+                worker.name, "10.0.0.9:9", worker.kind.name, worker.zone, worker.spot, "running", 5.0
+            )
             for worker in self.workers.values()
             if worker.name > since
         ]
-        return MachinePage(listed[:LIST_PAGE], len(listed) > LIST_PAGE)
+        return MachinePage(listed[:MACHINES_PER_PAGE], len(listed) > MACHINES_PER_PAGE)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.workers.relay import decode_heartbeats
 from bayford.protocol import workers
-from bayford.protocol.cloud_api import LIST_PAGE, CloudBusyError, Listed, MachinePage
+from bayford.protocol.cloud_api import MACHINES_PER_PAGE, CloudBusyError, ListedMachine, MachinePage
 from bayford.scheduling.model import MachineType
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
@@ -132,8 +132,11 @@
     def machines(self, since: str) -> MachinePage:
         self._enter("list")
         after = [name for name in self.names if name > since]
-        page = [Listed(name, "", "small", "north", True, "running", 9.0) for name in after[:LIST_PAGE]]
-        return MachinePage(page, len(after) > LIST_PAGE)
+        page = [
+            ListedMachine(name, "", "small", "north", True, "running", 9.0)
+            for name in after[:MACHINES_PER_PAGE]
+        ]
+        return MachinePage(page, len(after) > MACHINES_PER_PAGE)
 
 
 class UndisputedLeader:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,7 +7,7 @@
 from fakes.cluster import Cluster
 from fakes.scenarios import running_tasks
 
-from bayford.protocol.cloud_api import Listed
+from bayford.protocol.cloud_api import ListedMachine
 from bayford.scheduling import placement_rules, scaling
 from bayford.scheduling.model import Machine
 from bayford.storage import records
@@ -129,7 +129,7 @@
     name = next(iter(replicas_by_machine(cluster)))
     scheduler = cluster.nodes["n0"].scheduler
     cluster.network_cuts.add((name, "n0"))
-    failed = Listed(name, "", "small", cluster.workers[name].zone, False, "failed", 60.0)
+    failed = ListedMachine(name, "", "small", cluster.workers[name].zone, False, "failed", 60.0)
     scheduler.on_list([failed], cluster.clock.now)
     cluster.cloud_step("n0")
     run_steps(cluster, 4)
--- a/tools/leader_cost.py
+++ b/tools/leader_cost.py
@@ -33,7 +33,7 @@
 from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.protocol import workers
-from bayford.protocol.cloud_api import Listed
+from bayford.protocol.cloud_api import ListedMachine
 from bayford.scheduling.model import PRIORITIES, JobSpec, MachineType
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
@@ -96,8 +96,8 @@
         """See `TaskLogSource`."""
         return call(self.task_log)
 
-    def _listed(self, n: int, name: str) -> Listed:
-        return Listed(name, "10.0.0.1:9", TYPE.name, TYPE.zones[n % 2], True, "running", 30.0)
+    def _listed(self, n: int, name: str) -> ListedMachine:
+        return ListedMachine(name, "10.0.0.1:9", TYPE.name, TYPE.zones[n % 2], True, "running", 30.0)
 
     def heartbeat(self, name: str) -> None:
         """One heartbeat of a machine, on which all durable placements run, and the response to it."""
