--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -110,7 +110,7 @@
         more = True
         while more:
             self.pace()
-            page = self._cloud.machines(listed[-1].name if listed else "")
+            page = self._cloud.list_machines(listed[-1].name if listed else "")
             listed += page.machines
             pages += 1
             more = page.more and bool(page.machines)
--- a/bayford/protocol/cloud_api.py
+++ b/bayford/protocol/cloud_api.py
@@ -94,7 +94,7 @@
     def delete(self, names: list[str]) -> None:
         """Delete machines; they no longer exist when this returns."""
 
-    def machines(self, since: str) -> MachinePage:
+    def list_machines(self, since: str) -> MachinePage:
         """One page of the cloud's machine list, which lags behind its actual state.
 
         The page starts after the machine name `since`, or at the beginning if that is empty.
@@ -136,7 +136,7 @@
         for first in range(0, len(names), MACHINES_PER_DELETE):
             self._request("POST", "/hosts/delete", _DeleteRequest(names[first : first + MACHINES_PER_DELETE]))
 
-    def machines(self, since: str) -> MachinePage:
+    def list_machines(self, since: str) -> MachinePage:
         """One page of the machine list."""
         path = f"/hosts?since={since}&limit={MACHINES_PER_PAGE}"
         return msgspec.json.decode(self._request("GET", path), type=MachinePage)
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -72,7 +72,7 @@
                 self.capacity += 1
             self.deleted.append(name)
 
-    def machines(self, since: str) -> MachinePage:
+    def list_machines(self, since: str) -> MachinePage:
         if self.down:
             raise CloudBusyError("503")
         self.list_calls += 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -129,7 +129,7 @@
     def delete(self, names: list[str]) -> None:
         self._enter("delete")
 
-    def machines(self, since: str) -> MachinePage:
+    def list_machines(self, since: str) -> MachinePage:
         self._enter("list")
         after = [name for name in self.names if name > since]
         page = [
