--- a/bayford/config.py
+++ b/bayford/config.py
@@ -66,7 +66,7 @@
     txn_ops: int | None = None
 
 
-class State(msgspec.Struct, frozen=True):
+class StateServiceLimits(msgspec.Struct, frozen=True):
     """Limits of the state service."""
 
     rps: float  # requests a second
@@ -97,7 +97,7 @@
     zones: list[str]
     teams: list[Team]
     workers: Workers
-    state: State
+    state: StateServiceLimits
     cloud: Cloud
     nodes: int = 1  # controllers
     time_bound_ms: float = 0.0
--- a/bayford/coordination/store_limits.py
+++ b/bayford/coordination/store_limits.py
@@ -9,7 +9,7 @@
 
 import logging
 
-from bayford.config import State
+from bayford.config import StateServiceLimits
 
 log = logging.getLogger(__name__)
 
@@ -21,7 +21,7 @@
     """Sizes are in bytes, rates per second. Many threads read the values, each independently of the others;
     the thread whose request was refused lowers them."""
 
-    def __init__(self, state: State) -> None:
+    def __init__(self, state: StateServiceLimits) -> None:
         announced = state.next
         self.layout_bytes = int(state.value_kb * 1024)  # value size that the task log is laid out for
         self.value_bytes = self.layout_bytes
