--- a/bayford/coordination/api/job_requests.py
+++ b/bayford/coordination/api/job_requests.py
@@ -198,7 +198,7 @@
         quota = self._deployment.team_quota(spec.team)
         if quota is None:
             return Reply(422, jobs.encode_error(f"unknown team {spec.team}"))
-        if not quota.could_ever(spec):
+        if not quota.can_ever_fit(spec):
             return Reply(422, jobs.encode_error(f"it needs more than the limit of team {spec.team}"))
         zones = _zones_that_fit(spec, types)
         if not zones:
--- a/bayford/scheduling/quota.py
+++ b/bayford/scheduling/quota.py
@@ -39,7 +39,7 @@
             and self.used_gpus + spec.gpus <= self.gpus_max + EPS
         )
 
-    def could_ever(self, spec: JobSpec) -> bool:
+    def can_ever_fit(self, spec: JobSpec) -> bool:
         """Returns whether the job fits within the limit of a team that uses nothing.
 
         An array needs room for one task, a gang or a service for all of its tasks.
