--- a/bayford/coordination/leader/heartbeat_handler.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -154,5 +154,5 @@
         now = self._state.clock()
         for key, placement in list(machine.open.items()):
             is_absent = key not in phases and placement.epoch == machine.epoch
-            if placement.job.cancelled and is_absent and after >= placement.job.cancel_known:
+            if placement.job.cancelled and is_absent and after >= placement.job.cancel_learned_at:
                 self._state.close(machine, placement, now)
--- a/bayford/coordination/leader/job_records.py
+++ b/bayford/coordination/leader/job_records.py
@@ -94,7 +94,7 @@
     @staticmethod
     def _mark_cancelled(job: Job, cancelled_wall: float, now: float, wall: float) -> None:
         job.cancelled = True
-        job.cancel_known = now
+        job.cancel_learned_at = now
         job.cancelled_at = now - max(0.0, wall - cancelled_wall)
 
     def _load_job(
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -54,7 +54,7 @@
                 log.info("migration dropped: task=%s reason=%s", migration.placement.task_id, reason)
                 continue
             job = migration.placement.job
-            job.hints[migration.placement.task] = migration.target
+            job.migration_targets[migration.placement.task] = migration.target
             self._state.stop(migration.placement, preemption.stop_grace_s(job.spec))
             self._state.moves += 1
 
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -156,7 +156,7 @@
             unmet_guarantee -= 1
             tasks -= 1
             for victim in victims:
-                victim.job.note_preemption(victim.placement.task)
+                victim.job.record_preemption(victim.placement.task)
                 search.quotas[victim.job.team].release(victim.job.spec)
                 state.stop(victim.placement, preemption.stop_grace_s(victim.job.spec))
                 search.preemptions_left -= 1
--- a/bayford/coordination/leader/scheduling_queue.py
+++ b/bayford/coordination/leader/scheduling_queue.py
@@ -46,7 +46,7 @@
                 continue
             count = self._count_within_limit(job)
             if count <= 0:
-                job.why_waiting = "team limit"
+                job.waiting_reason = "team limit"
                 continue
             if with_turns and self.is_starved(job, now):
                 turn = math.ceil(job.spec.tasks * self._state.policy.turn_share)
@@ -126,7 +126,7 @@
         waiting = sorted((job for job in state.jobs.values() if job.waiting), key=lambda job: job.created)
         lines = []
         for job in waiting[:max_jobs]:
-            reason = "back-off after failed runs" if job.not_before > now else job.why_waiting
+            reason = "back-off after failed runs" if job.not_before > now else job.waiting_reason
             lines.append(
                 f"job waiting: job={job.spec.id} team={job.spec.team} tasks={len(job.waiting)} "
                 f"age_s={now - job.created:.0f} reason={reason or 'not served yet'}"
--- a/bayford/coordination/leader/scheduling_round.py
+++ b/bayford/coordination/leader/scheduling_round.py
@@ -73,7 +73,7 @@
         for entry in queue:
             job, count = entry.job, entry.count
             if not self._state.capacity_index:
-                job.why_waiting = NO_ROOM
+                job.waiting_reason = NO_ROOM
                 continue
             # With load spread, the placement cost weighs the fetch against the load instead.
             waits_for_image = (
--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -38,7 +38,7 @@
         if by_zone and any(self._state.zone_of(p.machine) is None for p in job.open.values()):
             # After a failover, a machine that runs tasks of the job may not have sent a heartbeat yet. Its
             # zone is unknown, so the zone rules can't be checked.
-            job.why_waiting = "zone of a running task unknown"
+            job.waiting_reason = "zone of a running task unknown"
             return
         zone_counts = placement_rules.placements_by_zone(job, self._state.zone_of) if by_zone else {}
         # If spot machines alone can finish the work in time, keep it off on-demand machines, so that these
@@ -47,7 +47,7 @@
             not self._state.on_demand_needed
             and job.spec.priority < URGENT
             and job.spec.spot
-            and job.spot_hosts
+            and job.has_spot_machines
         )
 
         def is_allowed(machine: Machine) -> bool:
@@ -100,7 +100,7 @@
                 job, machines
             )
             if machine is None:
-                job.why_waiting = NO_ROOM
+                job.waiting_reason = NO_ROOM
                 break
             self._assign(job, job.waiting.pop(), machine, now, starved)
             placed += 1
@@ -119,7 +119,7 @@
             if machine is None:
                 choice = chooser.next()
                 if choice is None:
-                    job.why_waiting = NO_ROOM
+                    job.waiting_reason = NO_ROOM
                     break
                 machine = choice.machine
                 had_image.setdefault(machine.index, machine.images.get(job.image, False))
@@ -132,7 +132,7 @@
     def _take_hinted_machine(self, job: Job, can_take: MachineFilter) -> Machine | None:
         """Remove the migration hint of the next task and return the machine that it names, or None if there
         is no hint or the machine can't take the task any longer."""
-        hint = job.hints.pop(job.waiting[-1], None)
+        hint = job.migration_targets.pop(job.waiting[-1], None)
         machine = None if hint is None else self._state.machines.get(hint)
         return machine if machine is not None and machine.has_room(job.spec) and can_take(machine) else None
 
@@ -145,11 +145,11 @@
         while job.waiting and count > 0 and quota.allows(job.spec):
             zone_counts = placement_rules.placements_by_zone(job, self._state.zone_of)
             machines = placement_rules.candidates(job, machines, zone_counts, now)
-            hint = job.hints.pop(job.waiting[-1], None)
+            hint = job.migration_targets.pop(job.waiting[-1], None)
             hinted = [m for m in machines if m.index == hint and m.has_room(job.spec)]
             machine = hinted[0] if hinted else placement_rules.first_with_room(job, machines)
             if machine is None:
-                job.why_waiting = NO_ROOM
+                job.waiting_reason = NO_ROOM
                 break
             self._assign(job, job.waiting.pop(), machine, now, starved)
             count -= 1
@@ -170,9 +170,9 @@
                 and placement_rules.zone_allowed(job, m.zone, zone_counts)
             ]
             if not fitting:
-                job.why_waiting = NO_ROOM
+                job.waiting_reason = NO_ROOM
                 return
-            hint = job.hints.pop(job.waiting[-1], None)
+            hint = job.migration_targets.pop(job.waiting[-1], None)
             best = min(
                 fitting,
                 key=lambda m: (
@@ -189,7 +189,7 @@
         """Place all waiting tasks of a gang in one transaction, or none of them."""
         chosen = placement_rules.choose_gang(job, machines, len(job.waiting))
         if chosen is None:
-            job.why_waiting = "no room for the whole gang"
+            job.waiting_reason = "no room for the whole gang"
             return
         # All tasks of the gang share one attempt number, by which they find each other.
         attempt = self._state.next_attempt
--- a/bayford/coordination/leader/waiting_demand.py
+++ b/bayford/coordination/leader/waiting_demand.py
@@ -139,7 +139,7 @@
         pools = self._find_allowed_pools(job)
         host_cpus = sum(fleet.pool_cpus.get(pool, 0.0) for pool in pools)
         spot_cpus = sum(fleet.pool_cpus.get(pool, 0.0) for pool in pools if pool.spot)
-        job.spot_hosts = spot_cpus > 0
+        job.has_spot_machines = spot_cpus > 0
         on_demand = 0 if job.is_service else self._count_on_demand_tasks(job, count, pools, fleet, now)
         urgent = job.spec.priority >= URGENT
         return Demand(
--- a/bayford/scheduling/model.py
+++ b/bayford/scheduling/model.py
@@ -163,14 +163,16 @@
     waiting: list[int] = field(default_factory=list)  # stack of waiting tasks; the last one is placed next
     cancelled: bool = False
     cancelled_at: float = 0.0  # when the cancellation was confirmed
-    cancel_known: float = 0.0  # when this controller learned of the cancellation
+    cancel_learned_at: float = 0.0  # when this controller learned of the cancellation
     version: int = 0  # version of its record in the key-value store
     placed_at: float = NEVER  # when a task of the job was last placed
     not_before: float = 0.0  # back-off: no task of the job is placed before this time
     errors: int = 0  # number of task failures
     backoff_count: int = 0  # number of back-offs of the whole job so far; each one lasts longer
     failed_on: set[int] = field(default_factory=set)  # machines where a task failed; the job avoids them
-    hints: dict[int, int] = field(default_factory=dict)  # task -> machine that it is being migrated to
+    migration_targets: dict[int, int] = field(
+        default_factory=dict
+    )  # task -> machine that it is being migrated to
     # For replicas of a service that exit by themselves: the number of exits in a row, and when the back-off
     # of a replica that exits repeatedly ends. Kept per replica, so that a failing one does not delay the
     # others.
@@ -179,8 +181,10 @@
     down_since: dict[int, Downtime] = field(default_factory=dict)  # by replica, for those that are down
     # Number of preemptions by task, counted by this leader only.
     preemption_counts: dict[int, int] = field(default_factory=dict)
-    spot_hosts: bool = True  # whether the fleet, launching machines included, has spot machines for the job
-    why_waiting: str = ""  # reason that the log gives for the wait
+    has_spot_machines: bool = (
+        True  # whether the fleet, launching machines included, has spot machines for the job
+    )
+    waiting_reason: str = ""  # reason that the log gives for the wait
 
     @property
     def is_service(self) -> bool:
@@ -204,7 +208,7 @@
         """Whether all tasks are done. A finished job is never cancelled afterwards."""
         return len(self.done) == self.spec.tasks
 
-    def note_preemption(self, task: int) -> None:
+    def record_preemption(self, task: int) -> None:
         """Count one preemption of the task."""
         self.preemption_counts[task] = self.preemption_counts.get(task, 0) + 1
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -51,8 +51,8 @@
 
 def test_each_preemption_makes_the_next_one_costlier() -> None:
     job = array()
-    job.note_preemption(9)
-    job.note_preemption(9)
+    job.record_preemption(9)
+    job.record_preemption(9)
     assert cost(job) == 2 * REPEATED_STOP * EXPECTED_S
 
 
