--- a/bayford/coordination/leader/task_reconciliation.py
+++ b/bayford/coordination/leader/task_reconciliation.py
@@ -41,7 +41,7 @@
         if placement.running_since is None:
             placement.running_since = now - self._assumed_run_s(placement)
             self._state.use_image(machine, placement.job, is_fetched=True)
-            if placement.job.is_service and placement.placed_here:
+            if placement.job.is_service and placement.placed_by_this_leader:
                 self._log_replica_running(machine, placement, now)
         elif (
             placement.job.is_service and now - MIN_HEALTHY_RUN_S > placement.running_since > machine.failed_at
@@ -57,7 +57,7 @@
         assumed. If its run were counted from the failover, the task would appear to have just started, and
         therefore cheap to preempt.
         """
-        if placement.placed_here or placement.job.is_service:
+        if placement.placed_by_this_leader or placement.job.is_service:
             return 0.0
         return 0.5 * self._state.expected_run_s(placement.job)
 
@@ -109,7 +109,7 @@
         self._state.use_image(machine, job, is_fetched=True)
         machine.completed_tasks += 1
         machine.failed_jobs.clear()
-        if placement.running_since is not None and placement.placed_here:
+        if placement.running_since is not None and placement.placed_by_this_leader:
             # Run times counted from a failover must not be observed: the estimator would learn that tasks end
             # within seconds. The backlog would then appear empty, so that too few machines are launched and
             # nothing is preempted for urgent jobs.
--- a/bayford/scheduling/model.py
+++ b/bayford/scheduling/model.py
@@ -134,7 +134,7 @@
         return (self.task_id, self.attempt)
 
     @property
-    def placed_here(self) -> bool:
+    def placed_by_this_leader(self) -> bool:
         """Whether this leader placed it, rather than an earlier one."""
         return self.placed_at > 0.0
 
