--- a/bayford/coordination/leader/machine_health.py
+++ b/bayford/coordination/leader/machine_health.py
@@ -91,17 +91,19 @@
         Quarantines the machine if several jobs fail on it, or if a single job fails on it repeatedly and runs
         on other machines.
         """
-        has_several_failed_jobs = len(machine.failed_jobs) >= MIN_FAILURES_TO_QUARANTINE
+        has_several_failed_jobs = len(machine.failures_by_job) >= MIN_FAILURES_TO_QUARANTINE
         # Services are excluded: a replica that cannot run anywhere would quarantine machine after machine.
         has_one_failing_job = (
-            sum(machine.failed_jobs.values()) >= MIN_FAILURES_TO_QUARANTINE
+            sum(machine.failures_by_job.values()) >= MIN_FAILURES_TO_QUARANTINE
             and runs_elsewhere
             and not job.is_service
         )
         if (has_several_failed_jobs or has_one_failing_job) and not machine.quarantined:
             machine.quarantined = True
             log.error(
-                "machine quarantined: machine=%s failed_jobs=%s", machine.name, ",".join(machine.failed_jobs)
+                "machine quarantined: machine=%s failed_jobs=%s",
+                machine.name,
+                ",".join(machine.failures_by_job),
             )
         elif not has_several_failed_jobs:
             machine.backoff_until = max(machine.backoff_until, now + MACHINE_BACKOFF_S)
--- a/bayford/coordination/leader/task_failures.py
+++ b/bayford/coordination/leader/task_failures.py
@@ -83,7 +83,7 @@
         job.errors += 1
         job.failed_on.add(machine.index)
         machine.failed_at = now
-        machine.failed_jobs[job.spec.id] = machine.failed_jobs.get(job.spec.id, 0) + 1
+        machine.failures_by_job[job.spec.id] = machine.failures_by_job.get(job.spec.id, 0) + 1
         log.error(
             "task failed: task=%s machine=%s job_failures=%d job_failed_machines=%d",
             task_id,
--- a/bayford/coordination/leader/task_reconciliation.py
+++ b/bayford/coordination/leader/task_reconciliation.py
@@ -48,7 +48,7 @@
         ):
             # Services have no completed tasks, so a steadily running replica is the evidence that the machine
             # works.
-            machine.failed_jobs.clear()
+            machine.failures_by_job.clear()
 
     def _assumed_run_s(self, placement: Placement) -> float:
         """Return the assumed run time so far, in seconds, of a task that is first seen running.
@@ -108,7 +108,7 @@
         self._state.events.on_task_done(placement)
         self._state.use_image(machine, job, is_fetched=True)
         machine.completed_tasks += 1
-        machine.failed_jobs.clear()
+        machine.failures_by_job.clear()
         if placement.running_since is not None and placement.placed_by_this_leader:
             # Run times counted from a failover must not be observed: the estimator would learn that tasks end
             # within seconds. The backlog would then appear empty, so that too few machines are launched and
--- a/bayford/scheduling/model.py
+++ b/bayford/scheduling/model.py
@@ -256,7 +256,7 @@
     quarantined: bool = False  # no new tasks are placed on it
     lost: bool = False  # unresponsive or stopped; nothing is expected of tasks that may still run there
     deleting: bool = False  # its deletion is decided
-    failed_jobs: dict[str, int] = field(default_factory=dict)  # job id -> failures since the last success
+    failures_by_job: dict[str, int] = field(default_factory=dict)  # job id -> failures since the last success
     failed_at: float = NEVER  # when a task last failed on it
     completed_tasks: int = 0
     idle_since: float = 0.0  # 0 while it has open placements
