--- a/bayford/coordination/leader/machine_registry.py
+++ b/bayford/coordination/leader/machine_registry.py
@@ -51,7 +51,7 @@
             machine = Machine(index, name, last_heartbeat_at=now, launched_at=now, idle_since=now)
             machine.images = {self.images.index(i): True for i in self.summarized_images.get(name, ())}
             for image in machine.images:
-                self.capacity_index.holds(machine, image)
+                self.capacity_index.add_image(machine, image)
             self.machines[index] = machine
             self.reported_phases[index] = {}
         return machine
@@ -79,7 +79,7 @@
         """
         was_fetched = machine.images.pop(job.image, False)
         machine.images[job.image] = was_fetched or is_fetched
-        self.capacity_index.holds(machine, job.image)
+        self.capacity_index.add_image(machine, job.image)
         self._image_gb[job.image] = job.spec.image_gb
         cache_gb = self.types[machine.type].cache_gb if machine.type is not None else 0.0
         if was_fetched or not is_fetched or not cache_gb:
@@ -90,7 +90,7 @@
             if excess_gb <= 0:
                 break
             del machine.images[image]
-            self.capacity_index.dropped(machine, image)
+            self.capacity_index.remove_image(machine, image)
             excess_gb -= self._image_gb.get(image, 0.0)
 
     def zone_of(self, machine: int) -> int | None:
--- a/bayford/coordination/leader/task_reconciliation.py
+++ b/bayford/coordination/leader/task_reconciliation.py
@@ -31,7 +31,7 @@
         placement.started = True
         if status.phase == workers.FETCHING:
             machine.images.setdefault(placement.job.image, False)
-            self._state.capacity_index.holds(machine, placement.job.image)
+            self._state.capacity_index.add_image(machine, placement.job.image)
         elif status.phase == workers.RUNNING:
             self._on_running(machine, placement, now)
         elif status.phase == workers.ENDED:
--- a/bayford/coordination/leader/zone_monitor.py
+++ b/bayford/coordination/leader/zone_monitor.py
@@ -210,7 +210,7 @@
             used = {placement.job.image for placement in machine.open.values()}
             for image in [image for image in machine.images if image not in used]:
                 del machine.images[image]
-                state.capacity_index.dropped(machine, image)
+                state.capacity_index.remove_image(machine, image)
 
     def _update_scheduling_state(self) -> None:
         """Stores in the state the zones and machines that the scheduling rounds depend on."""
--- a/bayford/scheduling/capacity_index.py
+++ b/bayford/scheduling/capacity_index.py
@@ -65,13 +65,13 @@
         if key is not None:
             self._delete(machine.index, key)
         for image in machine.images:
-            self.dropped(machine, image)
+            self.remove_image(machine, image)
 
-    def holds(self, machine: Machine, image: int) -> None:
+    def add_image(self, machine: Machine, image: int) -> None:
         """Record that the machine holds the image or is fetching it."""
         self._holders.setdefault(image, set()).add(machine.index)
 
-    def dropped(self, machine: Machine, image: int) -> None:
+    def remove_image(self, machine: Machine, image: int) -> None:
         """Record that the machine no longer has the image."""
         holders = self._holders.get(image)
         if holders is not None:
--- a/tests/test_capacity_index.py
+++ b/tests/test_capacity_index.py
@@ -78,7 +78,7 @@
         machine.index = index
         capacity_index.update(machine)
         for image in machine.images:
-            capacity_index.holds(machine, image)
+            capacity_index.add_image(machine, image)
     return capacity_index
 
 
@@ -137,9 +137,9 @@
             machine.release(reserving_job.spec)
         elif event == "image":
             machine.images[image] = True
-            capacity_index.holds(machine, image)
+            capacity_index.add_image(machine, image)
         elif event == "evict" and machine.images.pop(image, None) is not None:
-            capacity_index.dropped(machine, image)
+            capacity_index.remove_image(machine, image)
         elif event == "removed":
             capacity_index.remove(machine)
             machine.images.clear()
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -493,7 +493,7 @@
     job = scheduler.state.jobs["req-000001"]
     holder, target = sorted(scheduler.state.machines)[:2]
     scheduler.state.machines[holder].images[job.image] = True
-    scheduler.state.capacity_index.holds(scheduler.state.machines[holder], job.image)
+    scheduler.state.capacity_index.add_image(scheduler.state.machines[holder], job.image)
     job.migration_targets[0] = target
     scheduler.round()
     assert job.open[0].machine == target
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -65,7 +65,7 @@
     ]
     for machine in south:
         machine.images[77] = True
-        scheduler.state.capacity_index.holds(machine, 77)
+        scheduler.state.capacity_index.add_image(machine, 77)
     reconnect_zones(cluster)
     while zone_state(cluster) == "lost":
         run_for(cluster, 0.5)
