--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -12,7 +12,7 @@
 from bayford.coordination.leader.waiting_demand import WaitingDemand, backlog_s
 from bayford.protocol.cloud_api import ListedMachine
 from bayford.scheduling import scaling
-from bayford.scheduling.scaling import Demand, Group, LaunchPlan, MachinePool, PooledMachine
+from bayford.scheduling.scaling import Demand, LaunchPlan, MachinePool, PooledMachine, ServiceGroup
 
 log = logging.getLogger(__name__)
 
@@ -89,7 +89,7 @@
         return state.listed_at >= state.leader_since + lag_s
 
     def _plan_launches(
-        self, now: float, demands: list[Demand], groups: list[Group], machines: list[PooledMachine]
+        self, now: float, demands: list[Demand], groups: list[ServiceGroup], machines: list[PooledMachine]
     ) -> list[LaunchRequest]:
         state = self._state
         booting = dict(state.launching)
--- a/bayford/coordination/leader/service_capacity.py
+++ b/bayford/coordination/leader/service_capacity.py
@@ -6,7 +6,7 @@
 from bayford.coordination.leader.waiting_demand import pools_for
 from bayford.scheduling import scaling
 from bayford.scheduling.model import Job, JobSpec, Machine
-from bayford.scheduling.scaling import Group, MachinePool, PooledMachine
+from bayford.scheduling.scaling import MachinePool, PooledMachine, ServiceGroup
 
 MachineCounts = dict[
     frozenset[MachinePool], dict[int, float]
@@ -19,7 +19,7 @@
     def __init__(self, state: LeaderState) -> None:
         self._state = state
 
-    def group_services(self, now: float) -> list[Group]:
+    def group_services(self, now: float) -> list[ServiceGroup]:
         """Returns the services grouped by the pools that may serve them, with the reserve for new services.
 
         Includes only services that are limited to on-demand machines. Such machines take longer to boot than
@@ -43,7 +43,7 @@
             self._add_replicas(counts, pools_for(self._state, job), job.spec, job.spec.tasks)
         if self._state.objectives.service_classes or service_pools:
             self._add_floor(counts, service_pools, boot_s)
-        return [Group(pools, machines) for pools, machines in counts.items()]
+        return [ServiceGroup(pools, machines) for pools, machines in counts.items()]
 
     def _recent_services(self, now: float, boot_s: float) -> list[Job]:
         """Returns the services accepted within the last `service_boot_times` boot times; drops older ones."""
@@ -91,7 +91,7 @@
             if state.zones.index(zone) not in state.closed_zones
         )
 
-    def kept_machines(self, groups: list[Group], present: Sequence[PooledMachine]) -> set[int]:
+    def kept_machines(self, groups: list[ServiceGroup], present: Sequence[PooledMachine]) -> set[int]:
         """Returns the on-demand machines that the services and their reserve need.
 
         Machines with the most replicas are chosen first, so that no replica has to move when other machines
--- a/bayford/scheduling/scaling.py
+++ b/bayford/scheduling/scaling.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
+class ServiceGroup:
     """Services that may be served by the same on-demand pools, and the capacity that they need."""
 
     pools: frozenset[MachinePool]
@@ -172,7 +172,7 @@
 
 
 def plan_service_launches(
-    groups: Sequence[Group],
+    groups: Sequence[ServiceGroup],
     types: Sequence[MachineType],
     present: Mapping[MachinePool, int],
     refused: frozenset[MachinePool],
@@ -204,7 +204,7 @@
 
 def _best_service_pool(
     pools: frozenset[MachinePool],
-    group: Group,
+    group: ServiceGroup,
     types: Sequence[MachineType],
     zone_cpus: Mapping[int, float] | None,
 ) -> MachinePool:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -353,7 +353,7 @@
 def test_standing_services_get_enough_machines_of_each_type(cluster: Cluster) -> None:
     types = cluster.nodes["n0"].scheduler.types
     small, cards = scaling.MachinePool(0, 0, False), scaling.MachinePool(1, 0, False)
-    group = scaling.Group(frozenset({small, cards}), {0: 6.0, 1: 3.0})
+    group = scaling.ServiceGroup(frozenset({small, cards}), {0: 6.0, 1: 3.0})
     none: frozenset[scaling.MachinePool] = frozenset()
     assert [(r.pool, r.count) for r in scaling.plan_service_launches([group], types, {}, none)] == [
         (small, 6)
