--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -104,7 +104,9 @@
             return None  # a task fits without migrations and will be placed in a coming round
         state.balancing_jobs += 1
         demand = (spec.cpus, spec.gpus, spec.mem_gb)
-        counts = tempered.Counts(state.policy.balance_trials, state.policy.balance_iterations, max_moves)
+        counts = tempered.SearchLimits(
+            state.policy.balance_trials, state.policy.balance_iterations, max_moves
+        )
 
         def allowed(key: AttemptKey, target: int) -> bool:
             # A service is not interrupted for work of lower priority, which can wait.
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -96,7 +96,7 @@
         snapshots = {snapshot.index: snapshot for snapshot in self._sample_snapshots(now)}
         hosts = [self._build_host(snapshot, now) for snapshot in snapshots.values()]
         running = sum(len(job.open) for job in state.jobs.values())
-        counts = tempered.Counts(
+        counts = tempered.SearchLimits(
             policy.balance_trials, policy.balance_iterations, tempered.budget(running, policy.balance_share)
         )
 
--- a/bayford/scheduling/tempered.py
+++ b/bayford/scheduling/tempered.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
+class SearchLimits:
     """Limits of one search: the paper's n_trials and n_iters, and the maximum number of moves."""
 
     trials: int = 4
@@ -196,7 +196,7 @@
     hosts: Sequence[Host],
     source: int,
     demand: Resources,
-    counts: Counts,
+    counts: SearchLimits,
     allowed: Allowed,
     rng: random.Random,
 ) -> Plan | None:
--- a/bayford/spread/rebalance.py
+++ b/bayford/spread/rebalance.py
@@ -13,7 +13,7 @@
 
 from bayford.scheduling import tempered
 from bayford.scheduling.model import EPS
-from bayford.scheduling.tempered import Allowed, Counts, Host
+from bayford.scheduling.tempered import Allowed, Host, SearchLimits
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 
 
 def rebalance(
-    hosts: Sequence[Host], threshold: float, counts: Counts, allowed: Allowed, rng: random.Random
+    hosts: Sequence[Host], threshold: float, counts: SearchLimits, allowed: Allowed, rng: random.Random
 ) -> Rebalancing | None:
     """Returns the moves of the trial with the lowest imbalance, or None if no trial improves the balance.
 
@@ -90,7 +90,7 @@
 
 
 def _run_trial(
-    hosts: list[Host], threshold: float, counts: Counts, allowed: Allowed, rng: random.Random
+    hosts: list[Host], threshold: float, counts: SearchLimits, allowed: Allowed, rng: random.Random
 ) -> list[Relocation]:
     """Run one trial, which iterates over the overloaded machines. Modifies `hosts`."""
     relocations: list[Relocation] = []
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -14,7 +14,7 @@
 from bayford.scheduling import placement_rules, tempered
 from bayford.scheduling.model import Job, Machine, MachineType, Placement
 from bayford.scheduling.policy import Policy
-from bayford.scheduling.tempered import Counts, Host, Item
+from bayford.scheduling.tempered import Host, Item, SearchLimits
 from bayford.spread.machine_snapshot import snapshot_of
 from bayford.spread.rebalance import Rebalancing, Relocation, rebalance
 from bayford.spread.restarts import RestartBudget, UnreadableCountsError
@@ -150,7 +150,9 @@
     fleet: list[Host], max_moves: int, threshold: float, seed: int
 ) -> None:
     before = {host.index: (host.free, list(host.items)) for host in fleet}
-    plan = rebalance(fleet, threshold, Counts(4, 3, max_moves), lambda key, target: True, random.Random(seed))
+    plan = rebalance(
+        fleet, threshold, SearchLimits(4, 3, max_moves), lambda key, target: True, random.Random(seed)
+    )
     assert {host.index: (host.free, host.items) for host in fleet} == before, "trials change nothing"
     if plan is None:
         return
@@ -184,7 +186,7 @@
     rng = random.Random(seed)
     by_index = {host.index: host for host in fleet}
     for _ in range(200):
-        plan = rebalance(fleet, 1.0, Counts(4, 3, 2), lambda key, target: True, rng)
+        plan = rebalance(fleet, 1.0, SearchLimits(4, 3, 2), lambda key, target: True, rng)
         if plan is None:
             break
         for relocation in plan.relocations:
@@ -207,7 +209,7 @@
         for n in range(3)
     ]
     fleet += [Host(n, 4.0, (4.0, 0.0, 4.0), []) for n in range(3, 12)]
-    plan = rebalance(fleet, 2.0, Counts(4, 3, 1), lambda key, target: True, random.Random(1))
+    plan = rebalance(fleet, 2.0, SearchLimits(4, 3, 1), lambda key, target: True, random.Random(1))
     assert plan is not None
     assert len(plan.relocations) == 1
 
@@ -218,7 +220,9 @@
     one_large.append(Host(3, 4.0, (0.0, 0.0, 0.0), [Item(("req-9/0", 1), (4.0, 0.0, 4.0))]))
     for fleet in (balanced, one_large):
         for seed in range(20):
-            assert rebalance(fleet, 1.0, Counts(4, 3, 4), lambda k, t: True, random.Random(seed)) is None
+            assert (
+                rebalance(fleet, 1.0, SearchLimits(4, 3, 4), lambda k, t: True, random.Random(seed)) is None
+            )
 
 
 # -- restart budgets
