--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -191,7 +191,7 @@
             ]
             if not victims:
                 continue
-            option = preemption.victims_on(machine, waiting, victims, MAX_STOPS_PER_MACHINE)
+            option = preemption.choose_victims(machine, waiting, victims, MAX_STOPS_PER_MACHINE)
             if option is not None:
                 option.cost = self._placement_cost(machine, waiting, option.cost)
                 options.append(option)
--- a/bayford/scheduling/preemption.py
+++ b/bayford/scheduling/preemption.py
@@ -13,8 +13,8 @@
 from bayford.scheduling.quota import TeamQuota
 
 # Constants of `delay_cost`. Those without a unit are multiples of the task's expected run time.
-REPEATED_STOP = 0.5  # cost for each earlier preemption of the task
-MISSED_DEADLINE = 2.0  # cost of a preemption that makes the job miss its deadline
+REPEATED_PREEMPTION_COST = 0.5  # cost for each earlier preemption of the task
+MISSED_DEADLINE_COST = 2.0  # cost of a preemption that makes the job miss its deadline
 MIN_REMAINING_RUN = 0.1  # minimum remaining run time, also of a task that has exceeded its expected run time
 LONGEST_TASK_RUN = 1.5  # run time of the longest task of an array, relative to the mean
 RESTART_S = 10.0  # time until a stopped task runs again, including the image fetch
@@ -90,7 +90,7 @@
     """
     if job.is_service or job.spec.checkpoint_interval_s > 0:
         return 0.0
-    cost = REPEATED_STOP * expected_s * job.preemption_counts.get(placement.task, 0)
+    cost = REPEATED_PREEMPTION_COST * expected_s * job.preemption_counts.get(placement.task, 0)
     ran_s = 0.0 if placement.running_since is None else now - placement.running_since
     ends_at = now + max(MIN_REMAINING_RUN * expected_s, expected_s - ran_s)
     due_at = math.inf if due_s is None else job.created + due_s
@@ -99,11 +99,11 @@
     share_waiting = min(1.0, len(job.waiting) / (0.5 * len(job.open) + 1.0))
     cost += expected_s * (1.0 - share_waiting)
     if now + LONGEST_TASK_RUN * expected_s + RESTART_S > due_at:
-        cost += MISSED_DEADLINE * expected_s
+        cost += MISSED_DEADLINE_COST * expected_s
     return cost
 
 
-def victims_on(
+def choose_victims(
     machine: Machine, waiting: Job, candidates: Iterable[Victim], max_victims: int
 ) -> PreemptionOption | None:
     """Returns victims on the machine that free the capacity for one task of `waiting`.
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -4,7 +4,7 @@
 from fakes.scenarios import run_for, running_tasks, started_cluster
 
 from bayford.scheduling.model import ARRAY, SERVICE, Job, JobSpec, Placement
-from bayford.scheduling.preemption import MISSED_DEADLINE, REPEATED_STOP, delay_cost
+from bayford.scheduling.preemption import MISSED_DEADLINE_COST, REPEATED_PREEMPTION_COST, delay_cost
 
 EXPECTED_S = 40.0
 
@@ -53,14 +53,14 @@
     job = array()
     job.record_preemption(9)
     job.record_preemption(9)
-    assert cost(job) == 2 * REPEATED_STOP * EXPECTED_S
+    assert cost(job) == 2 * REPEATED_PREEMPTION_COST * EXPECTED_S
 
 
 @pytest.mark.parametrize(
     ("due_s", "expected"),
     [
         (1000.0, 0.0),  # in time either way
-        (150.0, MISSED_DEADLINE * EXPECTED_S),  # in time only if it goes on
+        (150.0, MISSED_DEADLINE_COST * EXPECTED_S),  # in time only if it goes on
         (130.0, 0.0),  # late either way
     ],
 )
