--- a/standins/controllers.py
+++ b/standins/controllers.py
@@ -35,7 +35,7 @@
         self._script = folder / "policy.star"
         self._script.write_text(script)
         ports = free_ports(2 * len(zones))
-        self.fronts = {name: f"127.0.0.1:{ports[2 * n]}" for n, name in enumerate(zones)}
+        self.front_addresses = {name: f"127.0.0.1:{ports[2 * n]}" for n, name in enumerate(zones)}
         self._meshes = {name: f"127.0.0.1:{ports[2 * n + 1]}" for n, name in enumerate(zones)}
         self._running: dict[str, subprocess.Popen[bytes]] = {}
 
@@ -48,7 +48,7 @@
         )
         settings = self._folder / f"{name}.toml"
         settings.write_text(
-            f'member = "{name}"\nsite = "{self._zones[name]}"\nfront = "{self.fronts[name]}"\n'
+            f'member = "{name}"\nsite = "{self._zones[name]}"\nfront = "{self.front_addresses[name]}"\n'
             f'mesh_addr = "{self._meshes[name]}"\n{seeds}'
             f'[outside]\ncloud = "{cloud}"\nstate = "{state}"\n{self._facts}'
         )
@@ -78,14 +78,16 @@
         """What a controller has logged so far."""
         return (self._folder / f"{name}.log").read_text()
 
-    def ask(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+    def send_request(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         """A user's request to one controller: status and body; status 0 without a response."""
-        status, answer, _ = self.request(name, method, path, body)
+        status, answer, _ = self.send_request_with_retry_after(name, method, path, body)
         return status, answer
 
-    def request(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any, float]:
+    def send_request_with_retry_after(
+        self, name: str, method: str, path: str, body: Any = None
+    ) -> tuple[int, Any, float]:
         """The same, and the seconds of `Retry-After`, 0 without that header."""
-        connection = http.client.HTTPConnection(self.fronts[name], timeout=5.0)
+        connection = http.client.HTTPConnection(self.front_addresses[name], timeout=5.0)
         try:
             connection.request(method, path, None if body is None else json.dumps(body))
             response = connection.getresponse()
@@ -101,7 +103,7 @@
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             for name in list(self._running):
-                status, _ = self.ask(name, "POST", "/api/jobs", job)
+                status, _ = self.send_request(name, "POST", "/api/jobs", job)
                 if status in (200, 201):
                     return name
             time.sleep(0.2)
--- a/standins/site.py
+++ b/standins/site.py
@@ -67,11 +67,13 @@
         facts = FACTS.format(teams=team_tables, report_s=lease_s / 6, lease_s=lease_s, cancel_s=lease_s * 3.5)
         self.controllers = Controllers(folder, names, facts, script)
         self.state = state or StateService()
-        self.fleet = WorkerFleet(self.controllers.fronts, heartbeat_interval_s=lease_s / 6, lease_s=lease_s)
+        self.fleet = WorkerFleet(
+            self.controllers.front_addresses, heartbeat_interval_s=lease_s / 6, lease_s=lease_s
+        )
         self.cloud = Cloud(self.fleet, [KIND], ZONES, capacity)
 
     def __enter__(self) -> Self:
-        for name in self.controllers.fronts:
+        for name in self.controllers.front_addresses:
             self.start(name)
         return self
 
@@ -100,8 +102,8 @@
     def phases(self, job_id: str) -> dict[str, str | None]:
         """The phase of a job by each controller, None where it doesn't answer with 200."""
         phases: dict[str, str | None] = {}
-        for name in self.controllers.fronts:
-            status, body = self.controllers.ask(name, "GET", f"/api/jobs/{job_id}")
+        for name in self.controllers.front_addresses:
+            status, body = self.controllers.send_request(name, "GET", f"/api/jobs/{job_id}")
             phases[name] = body["phase"] if status == 200 else None
         return phases
 
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -45,7 +45,7 @@
         await_state(lambda: len(levels()) >= 2, "the flood is refused in part")
         leader = site.leader()
         assert leader is not None
-        ended = [leader, next(name for name in site.controllers.fronts if name != leader)]
+        ended = [leader, next(name for name in site.controllers.front_addresses if name != leader)]
         for name in ended:
             site.controllers.kill(name)
         await_state(lambda: site.leader() not in (None, leader), "another leader")
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -56,9 +56,13 @@
         assert not_done_once(history, [f"{name}/{task}" for name in names for task in range(TASKS)]) == []
         assert ran_twice(history) == []
         for n in range(JOBS):
-            status, body = site.controllers.ask("n0", "POST", "/api/jobs", job(n, IMAGES[n % 3], TASKS))
+            status, body = site.controllers.send_request(
+                "n0", "POST", "/api/jobs", job(n, IMAGES[n % 3], TASKS)
+            )
             assert (status, body["phase"]) == (200, "done"), "a repeated submission gets the one final answer"
-        assert any("placed by cost: job=" in site.controllers.log(name) for name in site.controllers.fronts)
+        assert any(
+            "placed by cost: job=" in site.controllers.log(name) for name in site.controllers.front_addresses
+        )
 
 
 A, B = Event("req-1/0", 1, "vm-1", "running"), Event("req-1/0", 2, "vm-2", "running")
@@ -149,7 +153,9 @@
         history = list(site.fleet.history)
         assert ran_twice(history) == [] and not_done_once(history, tasks) == []
         assert without_one_answer({name: site.phases(name) for name in names}, "done") == []
-        status, body = site.controllers.ask("n0", "POST", "/api/jobs", job(0, "img-0", 48, "mirror-trickle"))
+        status, body = site.controllers.send_request(
+            "n0", "POST", "/api/jobs", job(0, "img-0", 48, "mirror-trickle")
+        )
         assert (status, body["phase"]) == (200, "done")
         losses = decode(site.state.values("b/zone/")[key("south")]).losses
         assert losses and all(loss.totals()["open"] == 0 for loss in losses)
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -68,7 +68,7 @@
     """Kill the leader and another controller after a third of the time, and restart them after 3 s."""
     time.sleep(seconds / 3)
     leader = site.leader() or "n0"
-    killed = [leader, next(name for name in site.controllers.fronts if name != leader)]
+    killed = [leader, next(name for name in site.controllers.front_addresses if name != leader)]
     for name in killed:
         site.controllers.kill(name)
     time.sleep(3.0)
@@ -114,7 +114,7 @@
 def requests_line(site: Site) -> str:
     """The requests that the state service refused, by component, from the controllers' logs."""
     counts: dict[str, list[int]] = {}
-    for name in site.controllers.fronts:
+    for name in site.controllers.front_addresses:
         log = site.controllers.log(name)
         last_lines = {match[1]: match for match in REQUEST_COUNTS_LINE.finditer(log)}
         for component, match in last_lines.items():
