--- a/standins/history.py
+++ b/standins/history.py
@@ -4,10 +4,10 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 
-from standins.workers import Event
+from standins.workers import AttemptEvent
 
 
-def ran_twice(history: Iterable[Event]) -> list[str]:
+def ran_twice(history: Iterable[AttemptEvent]) -> list[str]:
     """Tasks that started while another attempt of them ran."""
     running: dict[str, tuple[int, str]] = {}
     violations = []
@@ -22,13 +22,13 @@
     return violations
 
 
-def not_done_once(history: Iterable[Event], task_ids: Iterable[str]) -> list[str]:
+def not_done_once(history: Iterable[AttemptEvent], task_ids: Iterable[str]) -> list[str]:
     """Those of these tasks that did not complete exactly once."""
     done = Counter(event.task_id for event in history if event.what == "done")
     return [task_id for task_id in task_ids if done[task_id] != 1]
 
 
-def done_again(history: Iterable[Event]) -> list[str]:
+def done_again(history: Iterable[AttemptEvent]) -> list[str]:
     """Tasks that completed twice while the machine of the first completion still remembered it.
 
     A worker whose lease expires forgets ended attempts, after which the task may run once more.
@@ -50,7 +50,7 @@
     return [job for job, phases in answers.items() if not phases or set(phases.values()) != {final}]
 
 
-def out_of_order(history: Iterable[Event], machines: Iterable[str], jobs: Sequence[str]) -> list[str]:
+def out_of_order(history: Iterable[AttemptEvent], machines: Iterable[str], jobs: Sequence[str]) -> list[str]:
     """Jobs that started a task on these machines before the job that precedes them in `jobs` had started all.
 
     Attempts are numbered in the order in which they are placed.
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True)
-class Event:
+class AttemptEvent:
     """A change of a task attempt; the order of events is their order in the history."""
 
     task_id: str
@@ -89,7 +89,7 @@
         self.jobs: dict[str, dict[str, Any]] = {}
         self.run_s: dict[str, float] = {}  # how long each task of a job runs
         self.workers: dict[str, Worker] = {}
-        self.history: list[Event] = []
+        self.history: list[AttemptEvent] = []
         self.fetches: list[tuple[str, str]] = []  # machine, image
         self._launched = 0
 
@@ -230,13 +230,13 @@
         self._changed = True
         what = phase if phase == "running" else str(attempt.cause)
         if what in ("running", "done", "halted", "error"):
-            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, what, now))
+            self.fleet.history.append(AttemptEvent(attempt.task_id, attempt.number, self.name, what, now))
 
     def _drop_all_tasks(self) -> None:
         now = time.monotonic()
         for attempt in self.tasks.values():
             what = "forgotten" if attempt.phase == "ended" else "lost"
-            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, what, now))
+            self.fleet.history.append(AttemptEvent(attempt.task_id, attempt.number, self.name, what, now))
         self.tasks.clear()
 
     def _execute(self, command: dict[str, Any]) -> None:
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -32,7 +32,7 @@
     refused_wrongly,
 )
 from standins.history import done_again
-from standins.workers import Event
+from standins.workers import AttemptEvent
 
 KEY = "07" * 32
 ADMISSION_ON = Policy(
@@ -487,8 +487,11 @@
     assert refused_wrongly([admitting], [refused], FLOWS)
     assert chosen_differently([refused, *accepted_under([LEVEL, ACCEPTANCE])]) == [REFUSED_JOB]
     assert chosen_differently([refused, *accepted_under([ACCEPTANCE, LEVEL])]) == []
-    done, forgotten = Event("req-1/0", 1, "vm-1", "done"), Event("req-1/0", 1, "vm-1", "forgotten")
-    repeated = Event("req-1/0", 2, "vm-2", "done")
+    done, forgotten = (
+        AttemptEvent("req-1/0", 1, "vm-1", "done"),
+        AttemptEvent("req-1/0", 1, "vm-1", "forgotten"),
+    )
+    repeated = AttemptEvent("req-1/0", 2, "vm-2", "done")
     assert done_again([done, repeated]) == ["req-1/0"]
     assert done_again([done, forgotten, repeated]) == []
     assert began_too_late({"a": 5, "b": 3}, [("a", "b")]) == ["a"]
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -8,7 +8,7 @@
 from bayford.recovery.zone_record import decode, key
 from standins.history import not_done_once, out_of_order, ran_twice, without_one_answer
 from standins.site import KIND, Site, await_state, job
-from standins.workers import Event
+from standins.workers import AttemptEvent
 
 ALL_FEATURES = (Path(__file__).parent.parent / "deploy" / "all-parts.star").read_text()
 KEEP_IDLE = "\nkeep_idle_s = 1e6\nsurplus_idle_s = 1e6\ndear_idle_s = 1e6\n"  # however slow this machine is
@@ -65,10 +65,10 @@
         )
 
 
-A, B = Event("req-1/0", 1, "vm-1", "running"), Event("req-1/0", 2, "vm-2", "running")
-A_DONE, B_DONE = Event("req-1/0", 1, "vm-1", "done"), Event("req-1/0", 2, "vm-2", "done")
-A_LOST = Event("req-1/0", 1, "vm-1", "lost")
-LATER = Event("req-2/0", 3, "vm-2", "running")
+A, B = AttemptEvent("req-1/0", 1, "vm-1", "running"), AttemptEvent("req-1/0", 2, "vm-2", "running")
+A_DONE, B_DONE = AttemptEvent("req-1/0", 1, "vm-1", "done"), AttemptEvent("req-1/0", 2, "vm-2", "done")
+A_LOST = AttemptEvent("req-1/0", 1, "vm-1", "lost")
+LATER = AttemptEvent("req-2/0", 3, "vm-2", "running")
 
 
 @pytest.mark.parametrize(
@@ -78,12 +78,17 @@
         ([A, B, A_LOST, B_DONE, LATER], ["req-1/0"], [], []),  # a second attempt beside the first
         ([A, A_DONE, B, B_DONE, LATER], [], ["req-1/0"], []),  # two ends
         ([A, A_LOST, B, LATER], [], ["req-1/0"], []),  # no end
-        ([A, A_LOST, Event("req-2/0", 1, "vm-2", "running"), B, B_DONE], [], [], ["req-2"]),  # too early
+        (
+            [A, A_LOST, AttemptEvent("req-2/0", 1, "vm-2", "running"), B, B_DONE],
+            [],
+            [],
+            ["req-2"],
+        ),  # too early
         ([A, A_DONE, LATER], [], [], ["req-2"]),  # the first never came back there
     ],
 )
 def test_the_checks_of_histories_find_what_is_wrong(
-    history: list[Event], twice: list[str], not_once: list[str], order: list[str]
+    history: list[AttemptEvent], twice: list[str], not_once: list[str], order: list[str]
 ) -> None:
     assert ran_twice(history) == twice
     assert not_done_once(history, ["req-1/0"]) == not_once
