--- a/standins/history.py
+++ b/standins/history.py
@@ -13,7 +13,7 @@
     violations = []
     for event in history:
         attempt = (event.number, event.machine)
-        if event.what == "running":
+        if event.kind == "running":
             if event.task_id in running:
                 violations.append(event.task_id)
             running[event.task_id] = attempt
@@ -24,7 +24,7 @@
 
 def not_done_once(history: Iterable[AttemptEvent], task_ids: Iterable[str]) -> list[str]:
     """Those of these tasks that did not complete exactly once."""
-    done = Counter(event.task_id for event in history if event.what == "done")
+    done = Counter(event.task_id for event in history if event.kind == "done")
     return [task_id for task_id in task_ids if done[task_id] != 1]
 
 
@@ -36,11 +36,11 @@
     remembered: set[str] = set()
     violations = []
     for event in history:
-        if event.what == "done":
+        if event.kind == "done":
             if event.task_id in remembered:
                 violations.append(event.task_id)
             remembered.add(event.task_id)
-        elif event.what == "forgotten":
+        elif event.kind == "forgotten":
             remembered.discard(event.task_id)
     return violations
 
@@ -59,7 +59,7 @@
     numbers: dict[str, list[int]] = {job: [] for job in jobs}
     for event in history:
         job = event.task_id.partition("/")[0]
-        if event.machine in on_machines and event.what == "running" and job in numbers:
+        if event.machine in on_machines and event.kind == "running" and job in numbers:
             numbers[job].append(event.number)
     violations = []
     for before, after in itertools.pairwise(jobs):
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -74,7 +74,7 @@
     task_id: str
     number: int
     machine: str
-    what: str  # running, done, error, halted, lost, or forgotten: it had ended and was not reaped
+    kind: str  # running, done, error, halted, lost, or forgotten: it had ended and was not reaped
     at: float = field(default=0.0, compare=False)  # on the steady clock
 
 
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -61,7 +61,7 @@
         names = [s.job["id"] for s in accepted]
 
         def undone() -> set[str]:
-            done = {event.task_id for event in list(site.fleet.history) if event.what == "done"}
+            done = {event.task_id for event in list(site.fleet.history) if event.kind == "done"}
             return {f"{name}/0" for name in names} - done
 
         await_state(lambda: not undone(), "what was accepted is done")
@@ -84,7 +84,7 @@
         assert share[0] > 2 * share[1], "urgent ones go first"
         begun: dict[str, int] = {}
         for event in history:
-            if event.what == "running":
+            if event.kind == "running":
                 begun.setdefault(event.task_id.partition("/")[0], event.number)
         came_together = [
             (build.job["id"], sweep.job["id"])
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -91,9 +91,9 @@
     done = set()
     for event in list(site.fleet.history):
         name = event.task_id.partition("/")[0]
-        if event.what == "running":
+        if event.kind == "running":
             started_at.setdefault(name, event.at)
-        elif event.what == "done":
+        elif event.kind == "done":
             done.add(name)
     waits = [started_at[s.job["id"]] - s.first_at for s in of_class if s.job["id"] in started_at]
     waits_after_acceptance = [
--- a/tools/spread_trial.py
+++ b/tools/spread_trial.py
@@ -93,7 +93,7 @@
         if average > 0 and now - began > 4.0:
             burst.load_ratios.append(max(loads) / average)
         for event in list(site.fleet.history):
-            if event.what == "running":
+            if event.kind == "running":
                 burst.started_at.setdefault(event.task_id, time.monotonic())
         time.sleep(0.1)
     return burst
@@ -105,7 +105,7 @@
     waits = [
         at - submitted_at[task[:10]] for task, at in burst.started_at.items() if task[:10] in submitted_at
     ]
-    moved = [event.task_id for event in site.fleet.history if event.what == "halted"]
+    moved = [event.task_id for event in site.fleet.history if event.kind == "halted"]
     fetches = len(site.fleet.fetches)
     return (
         f"{statistics.mean(ratios):9.2f} {max(ratios):8.2f} {statistics.mean(waits):9.2f} "
--- a/tools/zone_trial.py
+++ b/tools/zone_trial.py
@@ -63,7 +63,7 @@
                 if name not in served and running(f"req-{number:06d}") == machines * 2:
                     served[name] = time.monotonic() - returned_at
             time.sleep(0.1)
-        starts = sum(event.what == "running" for event in site.fleet.history)
+        starts = sum(event.kind == "running" for event in site.fleet.history)
         running_now = [running(f"req-{number:06d}") for number in range(1, 4)]
         served_columns = "  ".join(f"{name} {served[name]:.1f}" for name in served)
         return (
