--- a/standins/workers.py
+++ b/standins/workers.py
@@ -112,12 +112,12 @@
         self.jobs[job["id"]] = job
         self.run_s[job["id"]] = run_s
 
-    def cut_zone(self, zone: str, away: bool) -> None:
+    def set_zone_partitioned(self, zone: str, partitioned: bool) -> None:
         """Partition the machines of a zone from all controllers, or reconnect them. They run on meanwhile."""
         for worker in list(self.workers.values()):
             if worker.zone == zone:
-                worker.controls.mute = away
-                worker.refuse_commands(away)
+                worker.controls.mute = partitioned
+                worker.refuse_commands(partitioned)
 
     def close(self) -> None:
         """Delete all machines."""
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -129,7 +129,7 @@
 
         site.submit(job(0, "img-0", 48, "mirror-trickle"), run_s=math.inf)
         await_state(lambda: sum(site.fleet.loads().values()) == 6.0, "all tasks are there")
-        site.fleet.cut_zone("south", away=True)
+        site.fleet.set_zone_partitioned("south", partitioned=True)
         await_state(lambda: state() == "lost", "the loss is recorded")
         bound = {"yard": "south", "rank": "normal"}
         for number, name in ((1, "mirror-trickle"), (2, "rebuild-sweep"), (3, "hot-builds")):
@@ -140,7 +140,7 @@
         await_state(lambda: site.leader() not in (None, leader), "another leader")
         site.start(leader)
         for away in (False, True, False):  # it flaps
-            site.fleet.cut_zone("south", away)
+            site.fleet.set_zone_partitioned("south", away)
         names = [f"req-{n:06d}" for n in range(4)]
         tasks = [f"{names[0]}/{n}" for n in range(48)]
         tasks += [f"{name}/{n}" for name in names[1:] for n in range(6)]
--- a/tools/zone_trial.py
+++ b/tools/zone_trial.py
@@ -47,13 +47,13 @@
         site.submit(job(0, "img-0", tasks, "mirror-trickle", rank="idle"), run_s=1e9)
         await_state(lambda: running("req-000000") == tasks, "all tasks run", TIMEOUT_S)
         time.sleep(8.0 + rng.random())  # longer than a lease
-        site.fleet.cut_zone("south", away=True)
+        site.fleet.set_zone_partitioned("south", partitioned=True)
         cut_at = time.monotonic()
         await_state(lambda: running("req-000000") == tasks, "all tasks run elsewhere", TIMEOUT_S)
         again_s = time.monotonic() - cut_at
         for number, name in enumerate(CLASSES, 1):
             site.submit(job(number, f"img-{number}", machines * 2, name, yard="south", rank="normal"), 1e9)
-        site.fleet.cut_zone("south", away=False)
+        site.fleet.set_zone_partitioned("south", partitioned=False)
         for _ in range(machines // 2):
             site.fleet.launch(KIND, "south", True)
         returned_at = time.monotonic()
