--- a/standins/history.py
+++ b/standins/history.py
@@ -7,7 +7,7 @@
 from standins.workers import AttemptEvent
 
 
-def ran_twice(history: Iterable[AttemptEvent]) -> list[str]:
+def tasks_run_concurrently(history: Iterable[AttemptEvent]) -> list[str]:
     """Tasks that started while another attempt of them ran."""
     running: dict[str, tuple[int, str]] = {}
     violations = []
@@ -22,13 +22,13 @@
     return violations
 
 
-def not_done_once(history: Iterable[AttemptEvent], task_ids: Iterable[str]) -> list[str]:
+def tasks_not_completed_once(history: Iterable[AttemptEvent], task_ids: Iterable[str]) -> list[str]:
     """Those of these tasks that did not complete exactly once."""
     done = Counter(event.task_id for event in history if event.kind == "done")
     return [task_id for task_id in task_ids if done[task_id] != 1]
 
 
-def done_again(history: Iterable[AttemptEvent]) -> list[str]:
+def tasks_completed_again(history: Iterable[AttemptEvent]) -> list[str]:
     """Tasks that completed twice while the machine of the first completion still remembered it.
 
     A worker whose lease expires forgets ended attempts, after which the task may run once more.
@@ -45,7 +45,7 @@
     return violations
 
 
-def without_one_answer(answers: Mapping[str, Mapping[str, str | None]], final: str) -> list[str]:
+def jobs_with_inconsistent_phase(answers: Mapping[str, Mapping[str, str | None]], final: str) -> list[str]:
     """Jobs for which some controller gives another phase than `final`. `answers`: by job and controller."""
     return [job for job, phases in answers.items() if not phases or set(phases.values()) != {final}]
 
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -31,7 +31,7 @@
     chosen_differently,
     refused_wrongly,
 )
-from standins.history import done_again
+from standins.history import tasks_completed_again
 from standins.workers import AttemptEvent
 
 KEY = "07" * 32
@@ -492,8 +492,8 @@
         AttemptEvent("req-1/0", 1, "vm-1", "forgotten"),
     )
     repeated = AttemptEvent("req-1/0", 2, "vm-2", "done")
-    assert done_again([done, repeated]) == ["req-1/0"]
-    assert done_again([done, forgotten, repeated]) == []
+    assert tasks_completed_again([done, repeated]) == ["req-1/0"]
+    assert tasks_completed_again([done, forgotten, repeated]) == []
     assert began_too_late({"a": 5, "b": 3}, [("a", "b")]) == ["a"]
     assert began_too_late({"a": 2, "b": 3}, [("a", "b")]) == [] == began_too_late({}, [("a", "b")])
     assert began_too_late({"b": 3}, [("a", "b")]) == ["a"]
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -12,7 +12,7 @@
     chosen_differently,
     refused_wrongly,
 )
-from standins.history import done_again, ran_twice
+from standins.history import tasks_completed_again, tasks_run_concurrently
 from standins.site import KIND, Site, await_state
 from standins.state_service import StateService
 from standins.users import Users
@@ -72,7 +72,7 @@
         assert against_level(changes, flows) == [] and refused_wrongly(changes, answers, flows) == []
         assert chosen_differently([*answers, *accepted_under(changes)]) == []
         history = list(site.fleet.history)
-        assert ran_twice(history) == [] and done_again(history) == []
+        assert tasks_run_concurrently(history) == [] and tasks_completed_again(history) == []
         served = {(s.job["lane"], s.job["crew"]) for s in accepted}
         assert served == {(s.job["lane"], s.job["crew"]) for s in submissions}, "nobody is starved"
         builds = [s for s in submissions if s.job["lane"] == "hot-builds"]
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -6,7 +6,12 @@
 import pytest
 
 from bayford.recovery.zone_record import decode, key
-from standins.history import not_done_once, out_of_order, ran_twice, without_one_answer
+from standins.history import (
+    jobs_with_inconsistent_phase,
+    out_of_order,
+    tasks_not_completed_once,
+    tasks_run_concurrently,
+)
 from standins.site import KIND, Site, await_state, job
 from standins.workers import AttemptEvent
 
@@ -53,8 +58,11 @@
             site.fleet.run_s[name] = 0.0
         await_state(lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "the end")
         history = list(site.fleet.history)
-        assert not_done_once(history, [f"{name}/{task}" for name in names for task in range(TASKS)]) == []
-        assert ran_twice(history) == []
+        assert (
+            tasks_not_completed_once(history, [f"{name}/{task}" for name in names for task in range(TASKS)])
+            == []
+        )
+        assert tasks_run_concurrently(history) == []
         for n in range(JOBS):
             status, body = site.controllers.send_request(
                 "n0", "POST", "/api/jobs", job(n, IMAGES[n % 3], TASKS)
@@ -90,8 +98,8 @@
 def test_the_checks_of_histories_find_what_is_wrong(
     history: list[AttemptEvent], twice: list[str], not_once: list[str], order: list[str]
 ) -> None:
-    assert ran_twice(history) == twice
-    assert not_done_once(history, ["req-1/0"]) == not_once
+    assert tasks_run_concurrently(history) == twice
+    assert tasks_not_completed_once(history, ["req-1/0"]) == not_once
     assert out_of_order(history, ["vm-2"], ["req-1", "req-2"]) == order
 
 
@@ -106,7 +114,7 @@
     ],
 )
 def test_the_check_of_answers_finds_what_is_wrong(phases: dict[str, str | None], wrong: list[str]) -> None:
-    assert without_one_answer({"req-1": phases}, "done") == wrong
+    assert jobs_with_inconsistent_phase({"req-1": phases}, "done") == wrong
 
 
 RECOVER = (
@@ -156,8 +164,8 @@
             site.fleet.run_s[name] = 0.0
         await_state(lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "the end")
         history = list(site.fleet.history)
-        assert ran_twice(history) == [] and not_done_once(history, tasks) == []
-        assert without_one_answer({name: site.phases(name) for name in names}, "done") == []
+        assert tasks_run_concurrently(history) == [] and tasks_not_completed_once(history, tasks) == []
+        assert jobs_with_inconsistent_phase({name: site.phases(name) for name in names}, "done") == []
         status, body = site.controllers.send_request(
             "n0", "POST", "/api/jobs", job(0, "img-0", 48, "mirror-trickle")
         )
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -28,7 +28,7 @@
 from bayford.admission.level import Flow  # noqa: E402
 from bayford.scheduling.model import PRIORITIES  # noqa: E402
 from standins.admission_history import against_level, refused_wrongly  # noqa: E402
-from standins.history import ran_twice  # noqa: E402
+from standins.history import tasks_run_concurrently  # noqa: E402
 from standins.site import KIND, Site, await_state, job  # noqa: E402
 from standins.state_service import StateService  # noqa: E402
 from standins.users import Submission, Users  # noqa: E402
@@ -221,7 +221,7 @@
     flows = {s.job["id"]: flow_of(s.job) for s in users.submissions}
     history = site.state.history()
     violations = [*against_level(history, flows), *refused_wrongly(history, users.all_answers(), flows)]
-    twice = ran_twice(site.fleet.history)
+    twice = tasks_run_concurrently(site.fleet.history)
     if violations or twice:
         print(f"  WRONG: against their level {violations[:5]}; ran twice {twice[:5]}")
     return not violations and not twice
