--- a/standins/admission_history.py
+++ b/standins/admission_history.py
@@ -54,7 +54,7 @@
         return None
 
 
-def against_level(changes: Iterable[Row], flows: Mapping[str, Flow]) -> list[str]:
+def jobs_accepted_against_level(changes: Iterable[Row], flows: Mapping[str, Flow]) -> list[str]:
     """Jobs of these flows whose record was first written at a revision whose level refuses them.
 
     `changes`: of the state service, in order. What one transaction writes has one revision.
@@ -86,7 +86,7 @@
     return list(first_stored.values())
 
 
-def refused_wrongly(
+def unjustified_refusals(
     changes: Iterable[Row], answers: Iterable[SubmissionAnswer], flows: Mapping[str, Flow]
 ) -> list[SubmissionAnswer]:
     """Refusals by a level that admits the job, by a level that was never written, or after its acceptance."""
@@ -109,7 +109,7 @@
     return violations
 
 
-def chosen_differently(answers: Iterable[SubmissionAnswer]) -> list[str]:
+def jobs_decided_inconsistently(answers: Iterable[SubmissionAnswer]) -> list[str]:
     """Jobs that one level both refused and accepted (see `accepted_under`)."""
     choices: dict[tuple[str, int], set[bool]] = {}
     for answer in answers:
@@ -118,7 +118,7 @@
     return sorted({job for (job, _), outcomes in choices.items() if len(outcomes) > 1})
 
 
-def began_too_late(begun: Mapping[str, int], pairs: Iterable[tuple[str, str]]) -> list[str]:
+def urgent_jobs_started_late(begun: Mapping[str, int], pairs: Iterable[tuple[str, str]]) -> list[str]:
     """The urgent jobs that started after the other job of their pair, submitted at the same time.
 
     `begun`: the first attempt of each job; attempts are numbered in the order of placement.
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -26,10 +26,10 @@
 from standins.admission_history import (
     SubmissionAnswer,
     accepted_under,
-    against_level,
-    began_too_late,
-    chosen_differently,
-    refused_wrongly,
+    jobs_accepted_against_level,
+    jobs_decided_inconsistently,
+    unjustified_refusals,
+    urgent_jobs_started_late,
 )
 from standins.history import tasks_completed_again
 from standins.workers import AttemptEvent
@@ -310,8 +310,8 @@
     assert submit(cluster, "n1", 9999).status == 201
     history = [Row(row.key, row.value, row.version) for row in cluster.store.changes]
     flows = {answer.job_id: SWEEP for answer in answers}
-    assert against_level(history, flows) == []
-    assert refused_wrongly(history, answers, flows) == []
+    assert jobs_accepted_against_level(history, flows) == []
+    assert unjustified_refusals(history, answers, flows) == []
 
 
 def test_completions_of_urgent_jobs_are_recorded_before_those_of_others() -> None:
@@ -402,8 +402,8 @@
     answers += flood(cluster, 8, 2000)
     history = [Row(row.key, row.value, row.version) for row in cluster.store.changes]
     flows = {answer.job_id: SWEEP for answer in answers}
-    assert against_level(history, flows) == []
-    assert refused_wrongly(history, answers, flows) == []
+    assert jobs_accepted_against_level(history, flows) == []
+    assert unjustified_refusals(history, answers, flows) == []
 
 
 class AdmissionUnderFaults(RuleBasedStateMachine):
@@ -455,8 +455,8 @@
     @invariant()
     def no_acceptance_violates_its_level(self) -> None:
         flows = {f"req-{n:06d}": SWEEP for n in range(1, 7)}
-        assert against_level(self.cluster.store.changes, flows) == []
-        assert refused_wrongly(self.cluster.store.changes, self.answers, flows) == []
+        assert jobs_accepted_against_level(self.cluster.store.changes, flows) == []
+        assert unjustified_refusals(self.cluster.store.changes, self.answers, flows) == []
 
 
 AdmissionUnderFaults.TestCase.settings = settings(
@@ -472,21 +472,21 @@
 
 
 def test_the_checks_of_histories_find_violations() -> None:
-    assert against_level([LEVEL, ACCEPTANCE], FLOWS) == [REFUSED_JOB]
-    assert against_level([ACCEPTANCE, LEVEL], FLOWS) == []
-    assert against_level([Row(records.MEMBERS + "n0", "i", 1), LEVEL, ACCEPTANCE], FLOWS) == []
+    assert jobs_accepted_against_level([LEVEL, ACCEPTANCE], FLOWS) == [REFUSED_JOB]
+    assert jobs_accepted_against_level([ACCEPTANCE, LEVEL], FLOWS) == []
+    assert jobs_accepted_against_level([Row(records.MEMBERS + "n0", "i", 1), LEVEL, ACCEPTANCE], FLOWS) == []
     refused = SubmissionAnswer("n0", REFUSED_JOB, 429, 5)
-    assert refused_wrongly([LEVEL], [refused], FLOWS) == []
-    assert refused_wrongly([LEVEL], [SubmissionAnswer("n0", REFUSED_JOB, 429, 4)], FLOWS), (
+    assert unjustified_refusals([LEVEL], [refused], FLOWS) == []
+    assert unjustified_refusals([LEVEL], [SubmissionAnswer("n0", REFUSED_JOB, 429, 4)], FLOWS), (
         "refused by no stored level"
     )
-    assert refused_wrongly([Row(records.key(REFUSED_JOB), [], 3), LEVEL], [refused], FLOWS), (
+    assert unjustified_refusals([Row(records.key(REFUSED_JOB), [], 3), LEVEL], [refused], FLOWS), (
         "refused after its acceptance"
     )
     admitting = Row(records.ADMISSION, encode(level(1.0), 4096), 5)
-    assert refused_wrongly([admitting], [refused], FLOWS)
-    assert chosen_differently([refused, *accepted_under([LEVEL, ACCEPTANCE])]) == [REFUSED_JOB]
-    assert chosen_differently([refused, *accepted_under([ACCEPTANCE, LEVEL])]) == []
+    assert unjustified_refusals([admitting], [refused], FLOWS)
+    assert jobs_decided_inconsistently([refused, *accepted_under([LEVEL, ACCEPTANCE])]) == [REFUSED_JOB]
+    assert jobs_decided_inconsistently([refused, *accepted_under([ACCEPTANCE, LEVEL])]) == []
     done, forgotten = (
         AttemptEvent("req-1/0", 1, "vm-1", "done"),
         AttemptEvent("req-1/0", 1, "vm-1", "forgotten"),
@@ -494,6 +494,10 @@
     repeated = AttemptEvent("req-1/0", 2, "vm-2", "done")
     assert tasks_completed_again([done, repeated]) == ["req-1/0"]
     assert tasks_completed_again([done, forgotten, repeated]) == []
-    assert began_too_late({"a": 5, "b": 3}, [("a", "b")]) == ["a"]
-    assert began_too_late({"a": 2, "b": 3}, [("a", "b")]) == [] == began_too_late({}, [("a", "b")])
-    assert began_too_late({"b": 3}, [("a", "b")]) == ["a"]
+    assert urgent_jobs_started_late({"a": 5, "b": 3}, [("a", "b")]) == ["a"]
+    assert (
+        urgent_jobs_started_late({"a": 2, "b": 3}, [("a", "b")])
+        == []
+        == urgent_jobs_started_late({}, [("a", "b")])
+    )
+    assert urgent_jobs_started_late({"b": 3}, [("a", "b")]) == ["a"]
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -7,10 +7,10 @@
 
 from standins.admission_history import (
     accepted_under,
-    against_level,
-    began_too_late,
-    chosen_differently,
-    refused_wrongly,
+    jobs_accepted_against_level,
+    jobs_decided_inconsistently,
+    unjustified_refusals,
+    urgent_jobs_started_late,
 )
 from standins.history import tasks_completed_again, tasks_run_concurrently
 from standins.site import KIND, Site, await_state
@@ -69,8 +69,11 @@
         answers, changes = users.all_answers(), state.history()
         flows = {s.job["id"]: flow_of(s.job) for s in submissions}
         assert any(answer.status == 429 for answer in answers), "it was a flood"
-        assert against_level(changes, flows) == [] and refused_wrongly(changes, answers, flows) == []
-        assert chosen_differently([*answers, *accepted_under(changes)]) == []
+        assert (
+            jobs_accepted_against_level(changes, flows) == []
+            and unjustified_refusals(changes, answers, flows) == []
+        )
+        assert jobs_decided_inconsistently([*answers, *accepted_under(changes)]) == []
         history = list(site.fleet.history)
         assert tasks_run_concurrently(history) == [] and tasks_completed_again(history) == []
         served = {(s.job["lane"], s.job["crew"]) for s in accepted}
@@ -91,4 +94,4 @@
             for build, sweep in zip(builds, sweeps, strict=False)
             if build.accepted_at and sweep.accepted_at and build.accepted_at < sweep.accepted_at - 1.0
         ]
-        assert began_too_late(begun, came_together) == []
+        assert urgent_jobs_started_late(begun, came_together) == []
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -27,7 +27,7 @@
 # E402: the modules below are found on the path that is set above.
 from bayford.admission.level import Flow  # noqa: E402
 from bayford.scheduling.model import PRIORITIES  # noqa: E402
-from standins.admission_history import against_level, refused_wrongly  # noqa: E402
+from standins.admission_history import jobs_accepted_against_level, unjustified_refusals  # noqa: E402
 from standins.history import tasks_run_concurrently  # noqa: E402
 from standins.site import KIND, Site, await_state, job  # noqa: E402
 from standins.state_service import StateService  # noqa: E402
@@ -220,7 +220,10 @@
     """Check the histories of admission and of task attempts. Whether they hold no violation."""
     flows = {s.job["id"]: flow_of(s.job) for s in users.submissions}
     history = site.state.history()
-    violations = [*against_level(history, flows), *refused_wrongly(history, users.all_answers(), flows)]
+    violations = [
+        *jobs_accepted_against_level(history, flows),
+        *unjustified_refusals(history, users.all_answers(), flows),
+    ]
     twice = tasks_run_concurrently(site.fleet.history)
     if violations or twice:
         print(f"  WRONG: against their level {violations[:5]}; ran twice {twice[:5]}")
