--- a/bayford/coordination/api/job_requests.py
+++ b/bayford/coordination/api/job_requests.py
@@ -114,7 +114,9 @@
         UnavailableError: the record was not written, or the outcome is unknown.
         """
         key = records.key(record.spec.id)
-        value = records.fitted(record, self._limits.value_bytes) if record.over else records.encode(record)
+        value = (
+            records.fitted(record, self._limits.value_bytes) if record.is_final else records.encode(record)
+        )
         try:
             outcome = self._store.compare_and_swap({key: version, **conditions}, [Put(key, value)])
         except TooLargeError as error:
@@ -211,7 +213,7 @@
     def _query(self, job_id: str) -> Reply:
         state = self._watch_cache.job_state(job_id) if self._watch_cache.has_job(job_id) else None
         # Done and cancelled are final states: for them the watch cache suffices, without a read of the store.
-        if state is None or not state.record.over:
+        if state is None or not state.record.is_final:
             self._refresh_cache()
             state = self._watch_cache.job_state(job_id)
         if state is None:
@@ -224,7 +226,7 @@
             state = self._watch_cache.job_state(job_id)
             if state is None:
                 return Reply(404, jobs.encode_error("no such job"))
-            if state.record.over:
+            if state.record.is_final:
                 return Reply(200, jobs.encode_job_status(state))
             cancelled_at = round(self._wall(), 2)
             cancelled = msgspec.structs.replace(state.record, cancelled=cancelled_at, done=state.done)
--- a/bayford/coordination/leader/job_records.py
+++ b/bayford/coordination/leader/job_records.py
@@ -50,7 +50,7 @@
             spec = record.spec
             job = state.jobs.get(spec.id)
             if job is None:
-                if not record.over and self._load_job(record, version, state.clock()) is not None:
+                if not record.is_final and self._load_job(record, version, state.clock()) is not None:
                     state.record_accepted_job(spec)
                     log.info("job accepted: job=%s tasks=%d", spec.id, spec.tasks)
                 return
@@ -106,7 +106,7 @@
         unknown.
         """
         state, spec = self._state, record.spec
-        if record.over and (progress is None or not progress.open):
+        if record.is_final and (progress is None or not progress.open):
             return None
         team = state.team_names.find(spec.team)
         if team is None:  # removed from the settings: its tasks run on without a quota
--- a/bayford/storage/records.py
+++ b/bayford/storage/records.py
@@ -48,7 +48,7 @@
     done: int = 0  # number of tasks done when the job finished or was cancelled
 
     @property
-    def over(self) -> bool:
+    def is_final(self) -> bool:
         """Whether the record is final: it must not change again."""
         return self.finished or self.cancelled > 0
 
--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -312,7 +312,7 @@
                 self._require_task_log()
                 return None
             record = self._decoded_record(row)
-            if record.over:
+            if record.is_final:
                 return records.State(record, row.version, 0, record.done)
             self._require_task_log()
             progress = self.task_log.jobs.get(job_id)
@@ -370,7 +370,7 @@
             for row in self._rows.get(JOBS, {}).values():
                 record = self._decoded_record(row)
                 progress = self.task_log.jobs.get(record.spec.id)
-                if not record.over or (progress is not None and progress.open):
+                if not record.is_final or (progress is not None and progress.open):
                     jobs.append(StoredJob(record, row.version, progress))
             return jobs
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -51,7 +51,7 @@
         assert records.encode(record) == value, "an old reader takes no other fields, and no fewer"
         assert records.fitted(record, 2048) == value
     array, daemon = (records.decode(value) for value in GOLDEN["records"][:2])
-    assert not array.over and daemon.spec.shape == "service" and daemon.spec.tasks == 6
+    assert not array.is_final and daemon.spec.shape == "service" and daemon.spec.tasks == 6
 
 
 def test_rows_of_production_add_up_and_a_short_row_after_them_has_their_form() -> None:
