--- a/bayford/admission/level.py
+++ b/bayford/admission/level.py
@@ -108,7 +108,7 @@
     windows = sorted(level.windows, key=lambda window: window.width)
     while True:
         value = msgspec.to_builtins(msgspec.structs.replace(level, windows=tuple(windows)))
-        if records.size(value) <= max_bytes or not windows:
+        if records.encoded_size(value) <= max_bytes or not windows:
             return value
         windows = windows[: len(windows) * 9 // 10]
 
--- a/bayford/coordination/api/job_requests.py
+++ b/bayford/coordination/api/job_requests.py
@@ -113,9 +113,11 @@
         other keys) does not hold. TooLargeError: the record exceeds the size limit of a value.
         UnavailableError: the record was not written, or the outcome is unknown.
         """
-        key = records.key(record.spec.id)
+        key = records.job_key(record.spec.id)
         value = (
-            records.fitted(record, self._limits.value_bytes) if record.is_final else records.encode(record)
+            records.encode_within(record, self._limits.value_bytes)
+            if record.is_final
+            else records.encode(record)
         )
         try:
             outcome = self._store.compare_and_swap({key: version, **conditions}, [Put(key, value)])
@@ -166,7 +168,7 @@
         if refusal is not None:
             return refusal
         record = records.Record(self._without_unknown_types(spec), round(self._wall(), 2))
-        size = records.size(records.encode(record)) + FINAL_RECORD_GROWTH_BYTES
+        size = records.encoded_size(records.encode(record)) + FINAL_RECORD_GROWTH_BYTES
         max_size = self._limits.value_bytes
         if size > max_size:
             return _too_large(size, max_size)
@@ -180,7 +182,7 @@
             accepted = self._accept(record, conditions)
         except TooLargeError:
             return _too_large(size, max_size)
-        return Reply(201, jobs.encode_job_status(records.State(record, 0))) if accepted else None
+        return Reply(201, jobs.encode_job_status(records.JobState(record, 0))) if accepted else None
 
     def _without_unknown_types(self, spec: JobSpec) -> JobSpec:
         """Returns the job without machine types that the cloud does not have.
@@ -232,7 +234,7 @@
             cancelled = msgspec.structs.replace(state.record, cancelled=cancelled_at, done=state.done)
             if self._write(cancelled, state.version):
                 self._on_cancelled(job_id, cancelled_at)
-                return Reply(200, jobs.encode_job_status(records.State(cancelled, 0, 0, state.done)))
+                return Reply(200, jobs.encode_job_status(records.JobState(cancelled, 0, 0, state.done)))
         return Reply(503, jobs.encode_error("the job changes too fast, try again"))
 
 
--- a/bayford/coordination/leader/commit_loop.py
+++ b/bayford/coordination/leader/commit_loop.py
@@ -84,7 +84,9 @@
             # Lower the limits: the same batch would be refused on every retry, and nothing more would be
             # written.
             self._scheduler.on_not_committed(batch)
-            self._limits.lower_limits(len(batch.puts), max(records.size(put.value) for put in batch.puts))
+            self._limits.lower_limits(
+                len(batch.puts), max(records.encoded_size(put.value) for put in batch.puts)
+            )
             return
         except UnavailableError as error:
             self._scheduler.on_not_committed(batch)
--- a/bayford/coordination/leader/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -190,15 +190,15 @@
         """Add the job's final record, which marks it as done. Return False if the record exceeds the size
         limit of a value."""
         final = records.Record(job.spec, job.created_wall, 0.0, True, len(job.done))
-        value = records.fitted(final, self._row_bytes)
-        if records.size(value) > self._row_bytes:
+        value = records.encode_within(final, self._row_bytes)
+        if records.encoded_size(value) > self._row_bytes:
             # Any transaction with this record would be refused, which would block the commits of all jobs.
             log.error(
                 "job record too large, completion not written: job=%s max_bytes=%d", job_id, self._row_bytes
             )
             return False
-        self._batch.conditions[records.key(job_id)] = job.version
-        self._batch.puts.append(Put(records.key(job_id), value))
+        self._batch.conditions[records.job_key(job_id)] = job.version
+        self._batch.puts.append(Put(records.job_key(job_id), value))
         return True
 
     def _add_migration_counts(self) -> None:
--- a/bayford/coordination/leadership/membership.py
+++ b/bayford/coordination/leadership/membership.py
@@ -319,7 +319,7 @@
             "owners": dict.fromkeys(self._teams, leader),
             "members": live,
         }
-        if records.size(value) > self._limits.value_bytes:
+        if records.encoded_size(value) > self._limits.value_bytes:
             # With many teams and controllers the record may exceed the value limit. All teams have the same
             # leader, and every release reads only its name, given for one team, and its incarnation.
             value["owners"] = dict.fromkeys(self._teams[:1], leader)
--- a/bayford/protocol/jobs.py
+++ b/bayford/protocol/jobs.py
@@ -10,7 +10,7 @@
 
 from bayford.protocol.errors import ProtocolError
 from bayford.scheduling.model import ARRAY, GANG, SERVICE, JobSpec
-from bayford.storage.records import State
+from bayford.storage.records import JobState
 
 MAX_TASKS = 100_000
 MAX_BODY = 64 * 1024  # bytes
@@ -164,7 +164,7 @@
         raise InvalidError("`$.builds`: empty or too long")
 
 
-def job_phase(state: State) -> str:
+def job_phase(state: JobState) -> str:
     """The job's phase in responses to users."""
     if state.record.cancelled:
         return "aborted"
@@ -173,7 +173,7 @@
     return "running" if state.open else "pending"
 
 
-def encode_job_status(state: State) -> bytes:
+def encode_job_status(state: JobState) -> bytes:
     """The body of the response to a submission, a query or a cancellation."""
     return orjson.dumps(
         {"id": state.record.spec.id, "phase": job_phase(state), "done": state.done, "running": state.open}
--- a/bayford/recovery/zone_record.py
+++ b/bayford/recovery/zone_record.py
@@ -102,7 +102,7 @@
     while True:
         stored = [loss.summarize() if n < summarized else loss for n, loss in enumerate(losses)]
         value = msgspec.to_builtins(msgspec.structs.replace(record, losses=stored))
-        if records.size(value) <= max_bytes:
+        if records.encoded_size(value) <= max_bytes:
             return value
         if summarized < len(losses):
             summarized += 1
--- a/bayford/storage/records.py
+++ b/bayford/storage/records.py
@@ -53,7 +53,7 @@
         return self.finished or self.cancelled > 0
 
 
-class State(msgspec.Struct):
+class JobState(msgspec.Struct):
     """A job's record and its task counts from the task log, both of the same revision."""
 
     record: Record
@@ -62,7 +62,7 @@
     done: int = 0  # number of tasks done
 
 
-def key(job_id: str) -> str:
+def job_key(job_id: str) -> str:
     """Return the key of a job's record."""
     return JOBS + job_id
 
@@ -77,12 +77,12 @@
     return msgspec.to_builtins(record)
 
 
-def size(value: Any) -> int:
+def encoded_size(value: Any) -> int:
     """Return the size of a value as JSON in bytes: the larger of the results of the two usual encoders."""
     return max(len(orjson.dumps(value)), len(json.dumps(value, separators=(",", ":"))))
 
 
-def fitted(record: Record, max_bytes: int) -> Any:
+def encode_within(record: Record, max_bytes: int) -> Any:
     """Return the value of a final record, reduced if it is larger than `max_bytes` bytes.
 
     The job may have been accepted when the maximum value size was larger. None of its tasks will start again,
@@ -90,7 +90,7 @@
     stay, since some of its tasks may still be on machines. The result may still exceed `max_bytes`.
     """
     value = encode(record)
-    if size(value) <= max_bytes:
+    if encoded_size(value) <= max_bytes:
         return value
     reduced_spec = msgspec.structs.replace(record.spec, types=None, zone=None, image="-", job_class="-")
     return encode(msgspec.structs.replace(record, spec=reduced_spec))
--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -299,26 +299,26 @@
 
     def has_job(self, job_id: str) -> bool:
         """Return whether the cache has a record of the job."""
-        return self.get(records.key(job_id)) is not None
+        return self.get(records.job_key(job_id)) is not None
 
-    def job_state(self, job_id: str) -> records.State | None:
+    def job_state(self, job_id: str) -> records.JobState | None:
         """Return a job's record and the number of its open and done tasks; None if there is no record.
 
         Raises UnavailableError if the record or, where it is needed, the task log is unreadable or reloading.
         """
         with self._lock:
-            row = self._row(records.key(job_id))
+            row = self._row(records.job_key(job_id))
             if row is None:
                 self._require_task_log()
                 return None
             record = self._decoded_record(row)
             if record.is_final:
-                return records.State(record, row.version, 0, record.done)
+                return records.JobState(record, row.version, 0, record.done)
             self._require_task_log()
             progress = self.task_log.jobs.get(job_id)
             if progress is None:
-                return records.State(record, row.version)
-            return records.State(record, row.version, len(progress.open), len(progress.done))
+                return records.JobState(record, row.version)
+            return records.JobState(record, row.version, len(progress.open), len(progress.done))
 
     def _decoded_record(self, row: Row) -> records.Record:
         cached = self._records.get(row.key)
@@ -338,7 +338,7 @@
         True is therefore never outdated; False may be.
         """
         with self._lock:
-            row = self._row(records.key(job_id))
+            row = self._row(records.job_key(job_id))
             try:
                 return row is not None and self._decoded_record(row).cancelled > 0
             except UnavailableError:
@@ -353,7 +353,7 @@
             self._require_task_log()
             placements = []
             for (job, task), (attempt, epoch) in self.task_log.placed_on.get(machine, {}).items():
-                row = self._row(records.key(job))
+                row = self._row(records.job_key(job))
                 if row is not None:
                     cancelled = self._decoded_record(row).cancelled > 0
                     placements.append(RecordedPlacement(job, task, attempt, epoch, cancelled))
--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -513,7 +513,7 @@
             spec = self.specs[job_id]
             tasks = {f"{job_id}/{task}" for task in range(spec.tasks)}
             # A cancellation may have been carried out although its user got no answer.
-            cancelled = records.decode(self.store.rows[records.key(job_id)][0]).cancelled
+            cancelled = records.decode(self.store.rows[records.job_key(job_id)][0]).cancelled
             if cancelled or not tasks - placed - self.done_tasks:
                 continue
             fits = any(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -264,7 +264,7 @@
     windows = tuple(Window(1, "sweep", f"team-{n:03d}", 0, 100 + n) for n in range(500))
     level = msgspec.structs.replace(HALF_LEVEL, windows=windows)
     value = encode(level, 4096)
-    assert records.size(value) <= 4096
+    assert records.encoded_size(value) <= 4096
     kept = decode(value).windows
     assert len(kept) > 50
     assert [window.width for window in kept] == [100 + n for n in range(len(kept))]
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -146,7 +146,7 @@
     answers = [submit(cluster, node, number) for node in NODES]
     assert [answer.status for answer in answers] == [429, 429, 429]
     assert len({answer.revision for answer in answers}) == 1
-    assert records.key(f"req-{number:06d}") not in cluster.store.rows
+    assert records.job_key(f"req-{number:06d}") not in cluster.store.rows
 
 
 def test_a_restarted_controller_answers_by_the_stored_level(cluster: Cluster) -> None:
@@ -467,7 +467,7 @@
 
 LEVEL = Row(records.ADMISSION, encode(level(0.01), 4096), 5)
 REFUSED_JOB = f"req-{refused_number(level(0.01)):06d}"
-ACCEPTANCE = Row(records.key(REFUSED_JOB), [], 6)
+ACCEPTANCE = Row(records.job_key(REFUSED_JOB), [], 6)
 FLOWS = {REFUSED_JOB: SWEEP}
 
 
@@ -480,7 +480,7 @@
     assert unjustified_refusals([LEVEL], [SubmissionAnswer("n0", REFUSED_JOB, 429, 4)], FLOWS), (
         "refused by no stored level"
     )
-    assert unjustified_refusals([Row(records.key(REFUSED_JOB), [], 3), LEVEL], [refused], FLOWS), (
+    assert unjustified_refusals([Row(records.job_key(REFUSED_JOB), [], 3), LEVEL], [refused], FLOWS), (
         "refused after its acceptance"
     )
     admitting = Row(records.ADMISSION, encode(level(1.0), 4096), 5)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -263,7 +263,7 @@
         budget.record_migration("req-1", 10**5 - task)
         task += 1
     assert task > 10
-    assert records.size(budget.encode("req-1")) <= 384
+    assert records.encoded_size(budget.encode("req-1")) <= 384
 
 
 # -- the leader's migrations
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -49,7 +49,7 @@
     for value in GOLDEN["records"]:
         record = records.decode(value)
         assert records.encode(record) == value, "an old reader takes no other fields, and no fewer"
-        assert records.fitted(record, 2048) == value
+        assert records.encode_within(record, 2048) == value
     array, daemon = (records.decode(value) for value in GOLDEN["records"][:2])
     assert not array.is_final and daemon.spec.shape == "service" and daemon.spec.tasks == 6
 
--- a/tests/test_zone_records.py
+++ b/tests/test_zone_records.py
@@ -77,7 +77,7 @@
     assert TaskOutcomes.from_stored(outcomes.to_stored()) == outcomes
     losses = [outcomes.to_stored()] * 12
     value = zone_record.encode(zone_record.ZoneRecord("north", "lost", 1.0, 0, losses), max_bytes)
-    assert records.size(value) <= max_bytes
+    assert records.encoded_size(value) <= max_bytes
     last = zone_record.decode(json.loads(json.dumps(value))).losses[-1]
     assert sum(last.totals().values()) == len(tasks), "listed or counted, none is left out"
 
