--- a/bayford/coordination/leadership/manager.py
+++ b/bayford/coordination/leadership/manager.py
@@ -201,7 +201,7 @@
             term=record.version,
             fencing_token=record.fencing_token,
             as_of=as_of,
-            summarized_images=load_summary.newest(summaries, self._wall() - SUMMARY_MAX_AGE_S),
+            summarized_images=load_summary.newest_images(summaries, self._wall() - SUMMARY_MAX_AGE_S),
             next_attempt=cache.with_task_log(lambda task_log: task_log.next_attempt),
             migration_counts=self._read_values(records.MIGRATION_COUNTS),
             zone_records=self._read_values(records.ZONES),
--- a/bayford/storage/load_summary.py
+++ b/bayford/storage/load_summary.py
@@ -55,7 +55,7 @@
     return len(orjson.dumps(name)) + 12 + 4 * len(images) + new_names
 
 
-def newest(rows: list[Row], earliest: float) -> dict[str, list[str]]:
+def newest_images(rows: list[Row], earliest: float) -> dict[str, list[str]]:
     """Return the images by machine, each from its newest summary, ignoring those older than `earliest`."""
     images_by_machine: dict[str, list[str]] = {}
     recent = [row for row in rows if row.value["at"] >= earliest]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -88,7 +88,7 @@
     assert name == "n2" and [msgspec.to_builtins(r) for r in heartbeats] == [GOLDEN["report"]]
     assert mesh.pack_heartbeats(heartbeats, 2000) == [GOLDEN["relay"]["reports"]]
     rows = [Row(key, value, 5) for key, value in GOLDEN["summary"]]
-    assert load_summary.newest(rows, 0.0) == {"vm-000231": ["img-07", "img-1"], "vm-000232": ["img-1"]}
+    assert load_summary.newest_images(rows, 0.0) == {"vm-000231": ["img-07", "img-1"], "vm-000232": ["img-1"]}
     machines = [("vm-000231", 0.5, ["img-07", "img-1"]), ("vm-000232", 0.0, ["img-1"])]
     assert [[p.key, p.value] for p in load_summary.encode("n2", 1700000003.0, machines, 2048, 0)] == GOLDEN[
         "summary"
