--- a/bayford/coordination/leader/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -183,7 +183,7 @@
             if not job.cancelled and not self._add_final_record(job_id, job):
                 del state.pending_completions[job_id]
                 continue
-            self._rows[-1].add_over(job_id)
+            self._rows[-1].add_ended_job(job_id)
             self._batch.closed_jobs.append(job_id)
 
     def _add_final_record(self, job_id: str, job: Job) -> bool:
--- a/bayford/storage/row_builder.py
+++ b/bayford/storage/row_builder.py
@@ -68,7 +68,7 @@
         self._entries_of(self.row.closed, job).append(task)
         self.free_bytes -= len(str(task)) + 1
 
-    def add_over(self, job: str) -> None:
+    def add_ended_job(self, job: str) -> None:
         """Add an entry for a job that has ended: readers drop its tasks' state."""
         self.row.ended_jobs.append(job)
         self.free_bytes -= len(job) + 3
--- a/tests/test_task_log.py
+++ b/tests/test_task_log.py
@@ -38,7 +38,7 @@
         if self.truth and rng.random() < 0.02:
             job = rng.choice(sorted(self.truth))
             if builder.has_space(job):
-                builder.add_over(job)
+                builder.add_ended_job(job)
                 del self.truth[job]
                 self.over.add(job)
         builder.add_snapshots({job: set(expected_tasks) for job, expected_tasks in changed.items()})
