--- a/bayford/storage/row_builder.py
+++ b/bayford/storage/row_builder.py
@@ -17,7 +17,7 @@
 )
 from bayford.storage.task_ranges import encode_ranges
 
-KEEP_ROWS = 24  # target length of the log; exceeded if the live entries need more rows
+TARGET_ROWS = 24  # target length of the log; exceeded if the live entries need more rows
 SPACE_MARGIN_BYTES = 32  # brackets, and the list that an entry may start
 
 
@@ -35,7 +35,7 @@
         self._task_log = task_log
         self._machine_index: dict[tuple[str, int], int] = {}
         # Rows smaller than the layout's value size hold less, so the log needs proportionally more rows.
-        self._target_rows = KEEP_ROWS * max(1, task_log.layout_bytes // row_bytes)
+        self._target_rows = TARGET_ROWS * max(1, task_log.layout_bytes // row_bytes)
         is_long = len(task_log.segments) > 2 * self._target_rows
         self._snapshot_reserve_bytes = row_bytes // 3 if is_long else 0
 
--- a/tests/test_task_log.py
+++ b/tests/test_task_log.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bayford.storage.records import UnreadableError
-from bayford.storage.row_builder import KEEP_ROWS, RowBuilder
+from bayford.storage.row_builder import TARGET_ROWS, RowBuilder
 from bayford.storage.task_log import TaskLog
 
 
@@ -134,7 +134,7 @@
         late_reader.apply_row(*row)
     assert writer.state(late_reader) == writer.state(writer.task_log)
     # A row that is too short for a snapshot must not stop the tail: the log would grow without bound.
-    kept_rows = KEEP_ROWS * (layout_bytes // row_bytes)
+    kept_rows = TARGET_ROWS * (layout_bytes // row_bytes)
     if row_bytes >= 2048:
         assert longest <= 3 * kept_rows, "the log stays short while open work fits into a few rows"
     assert longest <= 20 * kept_rows
@@ -196,7 +196,7 @@
     before = dict(task_log.jobs["req-1"].open)
     for n in range(3000):
         append(partial(add_open, job_id="req-2", task=n % 7, attempt=n, machine="vm-2"))
-    assert len(stored) <= 2 * KEEP_ROWS * 8 + task_log.block_size
+    assert len(stored) <= 2 * TARGET_ROWS * 8 + task_log.block_size
     assert task_log.jobs["req-1"].open == before
     rebuilt = TaskLog(8192)
     rebuilt.rebuild([(slot, 1, value) for slot, value in stored.items()])
