--- a/bayford/storage/task_log.py
+++ b/bayford/storage/task_log.py
@@ -100,7 +100,7 @@
         self.next_attempt = 1
         self.jobs: dict[str, Progress] = {}
         # Machine -> (job, task) -> (attempt, epoch): an index of the placements in `jobs`.
-        self.placed_on: dict[str, dict[tuple[str, int], tuple[int, int]]] = {}
+        self.placements_by_machine: dict[str, dict[tuple[str, int], tuple[int, int]]] = {}
         self.segments: dict[int, Segment] = {}  # by row number, starting at the tail
         self.free_slots: deque[Slot] = deque()  # in order of reuse
         self._pending_rows: dict[int, ReceivedRow] = {}  # by number, until `next` reaches it
@@ -219,15 +219,15 @@
     ) -> None:
         machine, epoch = machine_epoch
         progress.open[task] = TaskPlacement(attempt, machine, epoch)
-        self.placed_on.setdefault(machine, {})[(job, task)] = (attempt, epoch)
+        self.placements_by_machine.setdefault(machine, {})[(job, task)] = (attempt, epoch)
 
     def _remove_placement(self, job: str, progress: Progress, task: int) -> None:
         placement = progress.open.pop(task, None)
         if placement is not None:
-            on_machine = self.placed_on[placement.machine]
+            on_machine = self.placements_by_machine[placement.machine]
             del on_machine[(job, task)]
             if not on_machine:
-                del self.placed_on[placement.machine]
+                del self.placements_by_machine[placement.machine]
 
     # -- writing ---------------------------------------------------------------------------------------
 
--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -352,7 +352,7 @@
         with self._lock:
             self._require_task_log()
             placements = []
-            for (job, task), (attempt, epoch) in self.task_log.placed_on.get(machine, {}).items():
+            for (job, task), (attempt, epoch) in self.task_log.placements_by_machine.get(machine, {}).items():
                 row = self._row(records.job_key(job))
                 if row is not None:
                     cancelled = self._decoded_record(row).cancelled > 0
--- a/tests/test_task_log.py
+++ b/tests/test_task_log.py
@@ -129,7 +129,7 @@
                 writer.task_log.tail,
                 writer.task_log.next_slots(3),
             )
-            assert rebuilt.placed_on == writer.task_log.placed_on
+            assert rebuilt.placements_by_machine == writer.task_log.placements_by_machine
     for row in delayed_rows:
         late_reader.apply_row(*row)
     assert writer.state(late_reader) == writer.state(writer.task_log)
