--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -120,7 +120,7 @@
 
     def view(self) -> LevelView:
         """Returns the level and the live controllers, at one revision of the watch cache."""
-        row, (members, stated_features) = self._watch_cache.read_together(
+        row, (members, stated_features) = self._watch_cache.read_atomically(
             records.ADMISSION, (records.MEMBERS, records.FEATURES)
         )
         lacking = tuple(features.controllers_without_admission(members, stated_features))
--- a/bayford/coordination/leadership/manager.py
+++ b/bayford/coordination/leadership/manager.py
@@ -185,16 +185,16 @@
         recovered.set()
         # Rows that arrived while the records were being read were not passed to the scheduler, which was not
         # the leader yet: pass them on now. A row that the scheduler already knows changes nothing.
-        for row in self._watch_cache.jobs_since(read_revision):
+        for row in self._watch_cache.job_rows_since(read_revision):
             self._dispatcher.reconcile_job(row)
-        for row in self._watch_cache.rows_below(records.RELAYS):
+        for row in self._watch_cache.rows_with_prefix(records.RELAYS):
             self._dispatcher.on_rows([row])
         self._signals.round.set()
 
     def _read_state(self, record: LeadershipRecord) -> RecoveredState:
         """Returns the state to recover from, read from the watch cache."""
         cache = self._watch_cache
-        summaries = cache.rows_below(records.SUMMARIES)
+        summaries = cache.rows_with_prefix(records.SUMMARIES)
         # Taken before the jobs are read, so that the jobs may be newer than `as_of` but never older.
         as_of = cache.as_of
         return RecoveredState(
@@ -210,7 +210,7 @@
 
     def _read_values(self, prefix: str) -> Mapping[str, Any]:
         """Returns the values of the keys with `prefix`, by the rest of the key."""
-        return {row.key[len(prefix) :]: row.value for row in self._watch_cache.rows_below(prefix)}
+        return {row.key[len(prefix) :]: row.value for row in self._watch_cache.rows_with_prefix(prefix)}
 
     # -- the verification thread -----------------------------------------------------------------------
 
--- a/bayford/coordination/leadership/membership.py
+++ b/bayford/coordination/leadership/membership.py
@@ -150,7 +150,7 @@
 
     def live_members(self) -> dict[str, str]:
         """Returns the incarnation of each live controller by name, according to the watch cache."""
-        rows = self._watch_cache.rows_below(records.MEMBERS)
+        rows = self._watch_cache.rows_with_prefix(records.MEMBERS)
         return {row.key[len(records.MEMBERS) :]: row.value for row in rows}
 
     def is_live(self, name: str, incarnation: str) -> bool:
--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -287,12 +287,12 @@
     def _row(self, key: str) -> Row | None:
         return self._rows.get(_prefix(key), {}).get(key)
 
-    def read_together(self, key: str, prefixes: Iterable[str]) -> tuple[Row | None, list[list[Row]]]:
+    def read_atomically(self, key: str, prefixes: Iterable[str]) -> tuple[Row | None, list[list[Row]]]:
         """Return one row and all rows under each prefix, read atomically."""
         with self._lock:
             return self._row(key), [list(self._rows.get(prefix, {}).values()) for prefix in prefixes]
 
-    def rows_below(self, prefix: str) -> list[Row]:
+    def rows_with_prefix(self, prefix: str) -> list[Row]:
         """Return the rows under a prefix, such as `records.MEMBERS`, in key order."""
         with self._lock:
             return sorted(self._rows.get(prefix, {}).values(), key=lambda row: row.key)
@@ -374,7 +374,7 @@
                     jobs.append(StoredJob(record, row.version, progress))
             return jobs
 
-    def jobs_since(self, revision: int) -> list[Row]:
+    def job_rows_since(self, revision: int) -> list[Row]:
         """Return the rows of jobs' records that were written after a revision."""
         with self._lock:
             return [row for row in self._rows.get(JOBS, {}).values() if row.version > revision]
