--- a/bayford/admission/control.py
+++ b/bayford/admission/control.py
@@ -25,8 +25,8 @@
     interval_s: float  # between two levels
     window_s: float  # period over which rates are measured
     turn_s: float  # time in which a window advances by its own width
-    enter: float  # refusing begins when the demand exceeds `kept_up` times this ratio
-    leave: float  # refusing ends below this ratio of `kept_up` and of `backlog_s`, both at once
+    enter: float  # refusing begins when the demand exceeds `sustainable_rps` times this ratio
+    leave: float  # refusing ends below this ratio of `sustainable_rps` and of `backlog_s`, both at once
     clear_s: float  # refusing ends after the load has been below these limits for this time
     backlog_s: float  # refusing begins when the waiting work would take the whole fleet longer than this
     floors: Floors
