--- a/bayford/admission/load.py
+++ b/bayford/admission/load.py
@@ -7,8 +7,8 @@
 EventKey = TypeVar("EventKey", bound=Hashable)
 
 DECREASE = 0.85  # factor on the capacity when the task log is delayed
-INCREASE = 0.05  # share of `kept_up` that is added otherwise
-MIN_CAPACITY, MAX_CAPACITY = 0.25, 1.8  # share of `kept_up`
+INCREASE = 0.05  # share of `sustainable_rps` that is added otherwise
+MIN_CAPACITY, MAX_CAPACITY = 0.25, 1.8  # share of `sustainable_rps`
 MAX_IGNORED_REFUSALS = 1  # per interval; coinciding bursts can cause one refused transaction
 MAX_LAG_S = 60.0  # a task log that is further behind with completed jobs counts as delayed
 SPARE_SHARE = 0.08  # share of the write rate that is left to leases, levels and cancellations
