--- a/tools/task_log_crosscheck.py
+++ b/tools/task_log_crosscheck.py
@@ -39,7 +39,7 @@
     "add_open": "opened",
     "add_done": "done",
     "add_closed": "closed",
-    "add_over": "over",
+    "add_ended_job": "over",
     "add_snapshots": "snapshots",
     "build": "finish",
 }
@@ -120,7 +120,7 @@
     if rng.random() < 0.02 and task_log.jobs:
         job = rng.choice(sorted(task_log.jobs))
         if job not in changing and builder.has_space(job):
-            builder.add_over(job)
+            builder.add_ended_job(job)
     if row_bytes:
         builder.add_snapshots(changing)
     else:
