--- a/bayford/coordination/leader/scheduler.py
+++ b/bayford/coordination/leader/scheduler.py
@@ -244,7 +244,7 @@
         return self.autoscaler.overdue_machines()
 
     def request_overdue_deletions(self) -> ScalingActions:
-        """Return the deletions of `overdue_machines` machines."""
+        """Return the deletions of the machines in `overdue_machines`."""
         return self.autoscaler.request_overdue_deletions()
 
     def on_launched(self, request: LaunchRequest, names: list[str], at: float) -> None:
