--- a/bayford/serve.py
+++ b/bayford/serve.py
@@ -42,8 +42,8 @@
         """`endpoint`: the other controller's address on the mesh, HOST:PORT."""
         address = split_address(endpoint)
         # Notices use a separate connection so that they do not wait for a status request to finish.
-        self._status_client = HttpClient(*address, max_idle=2, connect_s=PEER_CONNECT_TIMEOUT_S)
-        self._notices_client = HttpClient(*address, max_idle=1, connect_s=PEER_CONNECT_TIMEOUT_S)
+        self._status_client = HttpClient(*address, max_idle=2, connect_timeout_s=PEER_CONNECT_TIMEOUT_S)
+        self._notices_client = HttpClient(*address, max_idle=1, connect_timeout_s=PEER_CONNECT_TIMEOUT_S)
 
     def status(self, timeout_s: float) -> mesh.Status | None:
         """The controller's status; None if it did not respond with one."""
@@ -70,7 +70,7 @@
     The connection is closed afterwards. Commands go to any of hundreds of machines and seldom to the same one
     again soon, so that keeping connections open would need as many sockets as the workers' heartbeats do.
     """
-    client = HttpClient(*split_address(address), max_idle=0, connect_s=COMMAND_CONNECT_TIMEOUT_S)
+    client = HttpClient(*split_address(address), max_idle=0, connect_timeout_s=COMMAND_CONNECT_TIMEOUT_S)
     try:
         status, response = client.call("POST", workers.COMMANDS_PATH, body, COMMAND_TIMEOUT_S)
     except (UnavailableError, OutcomeUnknownError):
--- a/bayford/transport/http_client.py
+++ b/bayford/transport/http_client.py
@@ -19,12 +19,13 @@
 class HttpClient:
     """Pools keep-alive connections to one address. Called by any thread; concurrent calls share none."""
 
-    def __init__(self, host: str, port: int, max_idle: int = 8, connect_s: float = 1.0) -> None:
-        """`max_idle`: maximum number of idle connections kept for reuse. `connect_s`: connect timeout."""
+    def __init__(self, host: str, port: int, max_idle: int = 8, connect_timeout_s: float = 1.0) -> None:
+        """`max_idle`: maximum number of idle connections kept for reuse. `connect_timeout_s`: connect
+        timeout."""
         self._host = host
         self._port = port
         self._max_idle = max_idle
-        self._connect_s = connect_s
+        self._connect_s = connect_timeout_s
         self._lock = threading.Lock()  # guards `_idle`
         self._idle: list[_IdleConnection] = []  # the most recently used one is last
 
