--- a/bayford/coordination/leader/heartbeat_handler.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -26,18 +26,22 @@
         self._tasks = TaskReconciliation(state, self._health)
 
     def on_heartbeat(
-        self, heartbeat: workers.Heartbeat, after: float = NEVER, relay: str = "", asked: bool = False
+        self,
+        heartbeat: workers.Heartbeat,
+        sent_after: float = NEVER,
+        relay: str = "",
+        is_command_response: bool = False,
     ) -> int | None:
         """Apply a heartbeat and return the index of its machine, or None if it must not be answered.
 
         A heartbeat is not answered if this controller is not the leader, the machine is deleted, or the
         heartbeat belongs to an earlier epoch.
 
-        `after` is a lower bound (steady clock) of the time at which the heartbeat was sent: the time of the
-        answer to the previous heartbeat on the same connection. A heartbeat may be delivered minutes late,
-        and nothing else bounds its age. `relay` is the controller that forwarded it, empty if the worker sent
-        it directly. `asked` is true if it is the response to a direct command; the answer to an earlier
-        heartbeat may then still be in flight.
+        `sent_after` is a lower bound (steady clock) of the time at which the heartbeat was sent: the time of
+        the answer to the previous heartbeat on the same connection. A heartbeat may be delivered minutes
+        late, and nothing else bounds its age. `relay` is the controller that forwarded it, empty if the
+        worker sent it directly. `is_command_response` is true if it is the response to a direct command; the
+        answer to an earlier heartbeat may then still be in flight.
         """
         state = self._state
         with state.lock:
@@ -54,7 +58,7 @@
             if heartbeat.epoch > machine.epoch:
                 self._on_new_epoch(machine, heartbeat.epoch, now)
             phases = {(task.task_id, task.attempt): task.phase for task in heartbeat.tasks}
-            if not asked and not relay:
+            if not is_command_response and not relay:
                 self._health.check_acknowledged(machine, phases)
             self._update_machine(machine, heartbeat, relay, now)
             for task in heartbeat.tasks:
@@ -62,7 +66,7 @@
                 if placement is not None:
                     self._tasks.reconcile(machine, placement, task, now)
             state.reported_phases[machine.index] = phases
-            self._close_unstarted(machine, phases, after)
+            self._close_unstarted(machine, phases, sent_after)
             if not machine.open and machine.idle_since <= 0:
                 machine.idle_since = now
             return machine.index
