--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -150,7 +150,7 @@
         # By job id: migrations whose restart counts are not durable yet.
         self.uncounted_migrations: dict[str, list[Migration]] = {}
         self.obsolete_counts: dict[str, None] = {}  # ended jobs whose stored restart counts may be deleted
-        self.moves = 0  # number of migrations started
+        self.migrations = 0  # number of migrations started
 
     def _clear_scaling(self) -> None:
         self.listed_at = NEVER  # when the latest machine list was requested from the cloud
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -56,7 +56,7 @@
             job = migration.placement.job
             job.migration_targets[migration.placement.task] = migration.target
             self._state.stop(migration.placement, preemption.stop_grace_s(job.spec))
-            self._state.moves += 1
+            self._state.migrations += 1
 
     def _rejection_reason(self, migration: Migration) -> str:
         """Return the reason why the migration can no longer begin, or an empty string if it can."""
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -411,7 +411,7 @@
     assert list(replicas_by_machine(cluster)) != [here] and list(
         replicas_by_machine(cluster, "req-000006")
     ) == [here]
-    assert cluster.nodes["n0"].scheduler.state.moves == 1
+    assert cluster.nodes["n0"].scheduler.state.migrations == 1
 
 
 def test_the_readmes_service_can_be_submitted_queried_and_cancelled() -> None:
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -393,13 +393,13 @@
     if counted:
         node.commit_loop.commit_once()
         assert placement.stopping
-        assert node.scheduler.state.moves >= 1
+        assert node.scheduler.state.migrations >= 1
     overtake(cluster, event, placement, target)
     if event != "leader" and not counted:
-        before = node.scheduler.state.moves, set(node.scheduler.state.stopping)
+        before = node.scheduler.state.migrations, set(node.scheduler.state.stopping)
         node.watch_cache.pull(0.0)
         node.commit_loop.commit_once()
-        assert (node.scheduler.state.moves, set(node.scheduler.state.stopping) - {placement}) == (
+        assert (node.scheduler.state.migrations, set(node.scheduler.state.stopping) - {placement}) == (
             0,
             before[1] - {placement},
         )
@@ -424,7 +424,7 @@
     cluster = unbalanced_cluster()
     cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
     run_for(cluster, 40.0, cloud=False)
-    assert cluster.nodes["n0"].scheduler.state.moves == 0
+    assert cluster.nodes["n0"].scheduler.state.migrations == 0
     assert cluster.nodes["n0"].scheduler.state.jobs["req-000002"].waiting == [0]
 
 
@@ -512,7 +512,7 @@
         for worker in cluster.workers.values():
             cluster.heartbeat(worker, "n0")
         cluster.step_controller("n0")
-    assert cluster.nodes["n0"].scheduler.state.moves == 0
+    assert cluster.nodes["n0"].scheduler.state.migrations == 0
 
 
 def test_a_machine_of_an_unlisted_type_gets_no_work_and_is_logged_once(
