--- a/bayford/coordination/leader/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -131,15 +131,15 @@
         self._capacity.update(refusing, refused, task_log.lag_s)
 
     def _measure_load(self, workload: WorkloadFacts, now: float) -> Load:
-        kept_up = self._capacity.sustainable_rps
+        sustainable_rps = self._capacity.sustainable_rps
         return Load(
             # Demand is not measured by acceptances: after an overload these include jobs that were first
             # submitted long before.
             demand=self._demand.rates(now),
             accepted=self._accepted.rates(now),
             capacity=self._capacity.acceptances_per_s,
-            sustainable_rps=kept_up,
-            guarantees={team: kept_up * share for team, share in self._guarantee_shares.items()},
+            sustainable_rps=sustainable_rps,
+            guarantees={team: sustainable_rps * share for team, share in self._guarantee_shares.items()},
             over_guarantee=workload.over_guarantee,
             backlog_s=workload.backlog_s,
         )
