--- a/bayford/scheduling/tempered.py
+++ b/bayford/scheduling/tempered.py
@@ -196,7 +196,7 @@
     hosts: Sequence[Host],
     source: int,
     demand: Resources,
-    counts: SearchLimits,
+    limits: SearchLimits,
     allowed: Allowed,
     rng: random.Random,
 ) -> Plan | None:
@@ -210,18 +210,18 @@
         return fits(demand, host.free)
 
     best: Plan | None = None
-    for _ in range(counts.trials):
+    for _ in range(limits.trials):
         trial = copy_hosts(hosts)
         source_host = next(host for host in trial if host.index == source)
         others = [host for host in trial if host.index != source]
         moves: list[Move] = []
-        for _ in range(counts.iterations):
+        for _ in range(limits.iterations):
             excess = (
                 max(0.0, (demand[0] - source_host.free[0]) / source_host.cpus)
                 if source_host.cpus > 0
                 else 0.0
             )
-            moves += transfer(source_host, others, excess, has_room, counts.moves - len(moves), allowed, rng)
+            moves += transfer(source_host, others, excess, has_room, limits.moves - len(moves), allowed, rng)
             if has_room(source_host):
                 break
         if moves and has_room(source_host):
