--- a/bayford/spread/rebalance.py
+++ b/bayford/spread/rebalance.py
@@ -61,7 +61,7 @@
 
 
 def rebalance(
-    hosts: Sequence[Host], threshold: float, counts: SearchLimits, allowed: Allowed, rng: random.Random
+    hosts: Sequence[Host], threshold: float, limits: SearchLimits, allowed: Allowed, rng: random.Random
 ) -> Rebalancing | None:
     """Returns the moves of the trial with the lowest imbalance, or None if no trial improves the balance.
 
@@ -70,14 +70,14 @@
     load above the threshold is therefore better. A plan moves each task at most once, off the machine on
     which it runs: a task that was moved in a trial is not moved again.
     """
-    if counts.moves <= 0 or not sources(hosts, threshold):
+    if limits.moves <= 0 or not sources(hosts, threshold):
         return None
     before = _Balance.of(hosts, threshold)
     best_balance = before
     best: Rebalancing | None = None
-    for _ in range(counts.trials):
+    for _ in range(limits.trials):
         trial = tempered.copy_hosts(hosts)
-        relocations = _run_trial(trial, threshold, counts, allowed, rng)
+        relocations = _run_trial(trial, threshold, limits, allowed, rng)
         after = _Balance.of(trial, threshold)
         if relocations and after.is_better_than(best_balance):
             best_balance = after
