--- a/bayford/spread/rebalance.py
+++ b/bayford/spread/rebalance.py
@@ -90,7 +90,7 @@
 
 
 def _run_trial(
-    hosts: list[Host], threshold: float, counts: SearchLimits, allowed: Allowed, rng: random.Random
+    hosts: list[Host], threshold: float, limits: SearchLimits, allowed: Allowed, rng: random.Random
 ) -> list[Relocation]:
     """Run one trial, which iterates over the overloaded machines. Modifies `hosts`."""
     relocations: list[Relocation] = []
@@ -99,7 +99,7 @@
     def may_move(key: tuple[str, int], target: int) -> bool:
         return key not in moved and allowed(key, target)
 
-    for _ in range(counts.iterations):
+    for _ in range(limits.iterations):
         overloaded = sources(hosts, threshold)
         for source in overloaded:
             average = sum(host.load for host in hosts) / len(hosts)
@@ -109,12 +109,12 @@
                 [host for host in hosts if host is not source],
                 source.load - limit,
                 _has_load_within(limit),
-                counts.moves - len(relocations),
+                limits.moves - len(relocations),
                 may_move,
                 rng,
             )
             moved.update(move.key for move in moves)
             relocations += [Relocation(move.key, source.index, move.target) for move in moves]
-        if not overloaded or len(relocations) >= counts.moves:
+        if not overloaded or len(relocations) >= limits.moves:
             break
     return relocations
