--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -104,7 +104,7 @@
             return None  # a task fits without migrations and will be placed in a coming round
         state.balancing_jobs += 1
         demand = (spec.cpus, spec.gpus, spec.mem_gb)
-        counts = tempered.SearchLimits(
+        limits = tempered.SearchLimits(
             state.policy.balance_trials, state.policy.balance_iterations, max_moves
         )
 
@@ -117,7 +117,7 @@
 
         best: tempered.Plan | None = None
         for source in self._find_sources(job, demand, allowed_machines, hosts):
-            plan = tempered.free_room(list(hosts.values()), source, demand, counts, allowed, state.rng)
+            plan = tempered.free_room(list(hosts.values()), source, demand, limits, allowed, state.rng)
             if plan is not None and (best is None or plan.imbalance < best.imbalance):
                 best = plan
         return best
