--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -96,14 +96,14 @@
         snapshots = {snapshot.index: snapshot for snapshot in self._sample_snapshots(now)}
         hosts = [self._build_host(snapshot, now) for snapshot in snapshots.values()]
         running = sum(len(job.open) for job in state.jobs.values())
-        counts = tempered.SearchLimits(
+        limits = tempered.SearchLimits(
             policy.balance_trials, policy.balance_iterations, tempered.budget(running, policy.balance_share)
         )
 
         def allowed(key: AttemptKey, target: int) -> bool:
             return self._can_migrate(key, target, now)
 
-        plan = rebalance(hosts, policy.spread_threshold, counts, allowed, state.rng)
+        plan = rebalance(hosts, policy.spread_threshold, limits, allowed, state.rng)
         if plan is not None:
             self._carry_out(plan, snapshots, now)
 
