--- a/bayford/scheduling/model.py
+++ b/bayford/scheduling/model.py
@@ -170,9 +170,8 @@
     errors: int = 0  # number of task failures
     backoff_count: int = 0  # number of back-offs of the whole job so far; each one lasts longer
     failed_on: set[int] = field(default_factory=set)  # machines where a task failed; the job avoids them
-    migration_targets: dict[int, int] = field(
-        default_factory=dict
-    )  # task -> machine that it is being migrated to
+    # Task -> machine that it is being migrated to.
+    migration_targets: dict[int, int] = field(default_factory=dict)
     # For replicas of a service that exit by themselves: the number of exits in a row, and when the back-off
     # of a replica that exits repeatedly ends. Kept per replica, so that a failing one does not delay the
     # others.
@@ -181,9 +180,8 @@
     down_since: dict[int, Downtime] = field(default_factory=dict)  # by replica, for those that are down
     # Number of preemptions by task, counted by this leader only.
     preemption_counts: dict[int, int] = field(default_factory=dict)
-    has_spot_machines: bool = (
-        True  # whether the fleet, launching machines included, has spot machines for the job
-    )
+    # Whether the fleet, launching machines included, has spot machines for the job.
+    has_spot_machines: bool = True
     waiting_reason: str = ""  # reason that the log gives for the wait
 
     @property
