--- a/bayford/coordination/leader/heartbeat_handler.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -146,7 +146,7 @@
             self._state.close(machine, placement, now)
             placement.job.requeue(placement.task)
 
-    def _close_unstarted(self, machine: Machine, phases: dict[AttemptKey, str], after: float) -> None:
+    def _close_unstarted(self, machine: Machine, phases: dict[AttemptKey, str], sent_after: float) -> None:
         """Close placements of cancelled jobs that the worker does not list.
 
         This is safe only if the heartbeat was sent after the cancellation was committed. No controller then
@@ -158,5 +158,5 @@
         now = self._state.clock()
         for key, placement in list(machine.open.items()):
             is_absent = key not in phases and placement.epoch == machine.epoch
-            if placement.job.cancelled and is_absent and after >= placement.job.cancel_learned_at:
+            if placement.job.cancelled and is_absent and sent_after >= placement.job.cancel_learned_at:
                 self._state.close(machine, placement, now)
