--- a/bayford/transport/http_client.py
+++ b/bayford/transport/http_client.py
@@ -25,7 +25,7 @@
         self._host = host
         self._port = port
         self._max_idle = max_idle
-        self._connect_s = connect_timeout_s
+        self._connect_timeout_s = connect_timeout_s
         self._lock = threading.Lock()  # guards `_idle`
         self._idle: list[_IdleConnection] = []  # the most recently used one is last
 
@@ -53,7 +53,7 @@
         return response.status, data
 
     def _connect(self) -> http.client.HTTPConnection:
-        connection = http.client.HTTPConnection(self._host, self._port, timeout=self._connect_s)
+        connection = http.client.HTTPConnection(self._host, self._port, timeout=self._connect_timeout_s)
         try:
             connection.connect()
             connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
