--- a/bayford/coordination/api/admission_gate.py
+++ b/bayford/coordination/api/admission_gate.py
@@ -87,7 +87,7 @@
         """Decide on a valid submission of a job that is not in the watch cache, which was just refreshed."""
         flow = self.flow(spec)
         with self._lock:
-            self._submitted.note(flow, spec.id, self._clock())
+            self._submitted.record_submission(flow, spec.id, self._clock())
         view = self.view()
         conditions = {records.ADMISSION: view.version}
         level = view.in_force
@@ -106,24 +106,24 @@
             return Verdict(None, conditions)
         text = "more submissions are admitted than can be written in a second"
         retry_after_s = URGENT_RATE_LIMITED_RETRY_S if is_urgent else RATE_LIMITED_RETRY_S
-        return Verdict(Reply(SERVICE_UNAVAILABLE, jobs.error(text), retry_after_s), conditions)
+        return Verdict(Reply(SERVICE_UNAVAILABLE, jobs.encode_error(text), retry_after_s), conditions)
 
     def on_written(self) -> None:
         """Record that the key-value store has executed the transaction of an acceptance."""
         with self._lock:
-            self._rate_limiter.written()
+            self._rate_limiter.on_written()
 
     def on_write_refused(self) -> None:
         """Record that the key-value store has refused the transaction of an acceptance."""
         with self._lock:
-            self._rate_limiter.refused()
+            self._rate_limiter.on_refused()
 
     def view(self) -> LevelView:
         """Returns the level and the live controllers, at one revision of the watch cache."""
-        row, (members, stated_features) = self._watch_cache.read_together(
+        row, (members, stated_features) = self._watch_cache.read_atomically(
             records.ADMISSION, (records.MEMBERS, records.FEATURES)
         )
-        lacking = tuple(features.lacking(members, stated_features))
+        lacking = tuple(features.controllers_without_admission(members, stated_features))
         level = None if row is None else self._decode(row)
         if lacking != self._lacking:
             self._lacking = lacking
@@ -139,12 +139,12 @@
                 self._decoded_version = row.version
             return self._decoded
 
-    def submitted(self) -> Sample:
+    def submission_sample(self) -> Sample:
         """Returns a sample of the jobs recently submitted to this controller, for the leader."""
         with self._lock:
-            return self._submitted.recent(self._clock())
+            return self._submitted.recent_sample(self._clock())
 
-    def refused(self) -> int:
+    def refusal_count(self) -> int:
         """Returns how many submissions the level has refused since this controller started."""
         with self._lock:
             return self._refused
@@ -159,5 +159,5 @@
 
 
 def _refusal(flow: Flow, level: Level, revision: int, retry_after_s: int) -> Reply:
-    body = jobs.refusal(flow.job_class, flow.team, level.reason, level.number, revision)
+    body = jobs.encode_refusal(flow.job_class, flow.team, level.reason, level.number, revision)
     return Reply(TOO_MANY_REQUESTS, body, retry_after_s)
--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -141,7 +141,7 @@
             clock,
             zones,
             limits=self.limits,
-            older_peers=self.peers.older,
+            older_peers=self.peers.peers_of_older_release,
             feature_names=[ADMISSION] if self.scheduler.policy.admission else [],
         )
         self.connectivity = Connectivity(self.membership, self.peers, clock)
@@ -290,7 +290,7 @@
             self.admission.on_peer_status(status)
 
     def _refused_submissions(self) -> int:
-        return 0 if self.admission is None else self.admission.gate.refused()
+        return 0 if self.admission is None else self.admission.gate.refusal_count()
 
     # -- threads ---------------------------------------------------------------------------------------
 
@@ -361,25 +361,25 @@
             self.name,
             record.fencing_token,
             record.leader,
-            self.connectivity.store_reachable(),
+            self.connectivity.is_store_reachable(),
             self.release,
             submitted,
         )
 
     # -- workers ---------------------------------------------------------------------------------------
 
-    def heartbeat(self, heartbeat: workers.Heartbeat, after: float, hold: bool = True) -> Reply:
+    def heartbeat(self, heartbeat: workers.Heartbeat, sent_after: float, may_hold: bool = True) -> Reply:
         """Answer a worker's heartbeat; see `HeartbeatService.answer`."""
-        return self.heartbeats.answer(heartbeat, after, hold)
+        return self.heartbeats.answer(heartbeat, sent_after, may_hold)
 
     # -- users -----------------------------------------------------------------------------------------
 
     @property
-    def admission_on(self) -> bool:
+    def is_admission_enabled(self) -> bool:
         """Whether submissions are subject to admission control."""
         return self.admission is not None
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether this controller can serve requests of users.
 
         In an outage of the state service all controllers stay healthy: users are asked to retry, and no
@@ -388,7 +388,7 @@
         """
         if self.watch_cache.revision < 0 or self.connectivity.is_isolated():
             return False
-        return self.connectivity.store_reachable() or not self.peers.served()
+        return self.connectivity.is_store_reachable() or not self.peers.served_peers()
 
     def submit(self, body: bytes) -> Reply:
         """Accept a job."""
--- a/bayford/coordination/leader/admission_control.py
+++ b/bayford/coordination/leader/admission_control.py
@@ -54,7 +54,7 @@
 
     def _start_term(self, now: float) -> None:
         """Starts a term and discards all measurements of earlier terms."""
-        self._level_control.begin(now)
+        self._level_control.begin_term(now)
         self._capacity = AcceptanceCapacity(
             self._accept_share * self._limits.write_rps, self._limits.write_rps
         )
@@ -69,7 +69,7 @@
         May be called by any thread, also under the lock of the leader's state.
         """
         with self._lock:
-            self._accepted.note(flow, now)
+            self._accepted.add(flow, now)
 
     def note_submitted(self, controller: str, sample: Sample, now: float) -> None:
         """Adds a controller's sample of the jobs submitted to it."""
@@ -117,10 +117,10 @@
         with self._lock:
             return self._capacity.task_log_rps()
 
-    def not_written(self) -> None:
+    def on_write_failed(self) -> None:
         """Makes the next level due at once, after a write that failed or whose outcome is unknown."""
         with self._lock:
-            self._level_control.not_published()
+            self._level_control.mark_not_published()
 
     def _update_capacity(self, refusing: bool, task_log: TaskLogFacts, now: float) -> None:
         if now - self._capacity_updated_at < self._times.interval_s:
@@ -131,15 +131,15 @@
         self._capacity.update(refusing, refused, task_log.lag_s)
 
     def _measure_load(self, workload: WorkloadFacts, now: float) -> Load:
-        kept_up = self._capacity.kept_up
+        sustainable_rps = self._capacity.sustainable_rps
         return Load(
             # Demand is not measured by acceptances: after an overload these include jobs that were first
             # submitted long before.
             demand=self._demand.rates(now),
             accepted=self._accepted.rates(now),
-            capacity=self._capacity.per_s,
-            kept_up=kept_up,
-            guarantees={team: kept_up * share for team, share in self._guarantee_shares.items()},
+            capacity=self._capacity.acceptances_per_s,
+            sustainable_rps=sustainable_rps,
+            guarantees={team: sustainable_rps * share for team, share in self._guarantee_shares.items()},
             over_guarantee=workload.over_guarantee,
             backlog_s=workload.backlog_s,
         )
--- a/bayford/coordination/leader/autoscaler.py
+++ b/bayford/coordination/leader/autoscaler.py
@@ -10,9 +10,9 @@
 from bayford.coordination.leader.scheduling_round import SchedulingRound
 from bayford.coordination.leader.service_capacity import ServiceCapacity
 from bayford.coordination.leader.waiting_demand import WaitingDemand, backlog_s
-from bayford.protocol.cloud_api import Listed
+from bayford.protocol.cloud_api import ListedMachine
 from bayford.scheduling import scaling
-from bayford.scheduling.scaling import Demand, Group, LaunchPlan, MachinePool, PooledMachine
+from bayford.scheduling.scaling import Demand, LaunchPlan, MachinePool, PooledMachine, ServiceGroup
 
 log = logging.getLogger(__name__)
 
@@ -51,7 +51,7 @@
                 actions.launches += self._plan_launches(now, demands, groups, remaining_machines)
         return actions
 
-    def overdue(self) -> set[str]:
+    def overdue_machines(self) -> set[str]:
         """Returns the machines to delete even while no controller can verify that it is the leader.
 
         See `MachineDeletions.overdue`.
@@ -59,7 +59,7 @@
         with self._state.lock:
             return {machine.name for machine in self._deletions.overdue()}
 
-    def overdue_step(self) -> ScalingActions:
+    def request_overdue_deletions(self) -> ScalingActions:
         """Returns the deletions of overdue machines that have not been requested yet."""
         with self._state.lock:
             return ScalingActions(deletions=self._deletions.delete_overdue())
@@ -89,7 +89,7 @@
         return state.listed_at >= state.leader_since + lag_s
 
     def _plan_launches(
-        self, now: float, demands: list[Demand], groups: list[Group], machines: list[PooledMachine]
+        self, now: float, demands: list[Demand], groups: list[ServiceGroup], machines: list[PooledMachine]
     ) -> list[LaunchRequest]:
         state = self._state
         booting = dict(state.launching)
@@ -114,7 +114,10 @@
             ordinary_after_s=state.policy.ordinary_after_s,
             patience_s=state.policy.patience_s,
         )
-        return [self._create_request(plan, waiting_s) for plan in self._paced(plans, machines)]
+        return [
+            self._create_request(plan, waiting_s)
+            for plan in self._limit_launches_into_returning_zones(plans, machines)
+        ]
 
     def _create_request(self, plan: LaunchPlan, waiting_s: float) -> LaunchRequest:
         """Counts the plan's machines as being launched and returns the launch request for them."""
@@ -132,7 +135,9 @@
         )
         return LaunchRequest(type_name, zone, pool.spot, plan.count, plan.reason)
 
-    def _paced(self, plans: list[LaunchPlan], machines: Sequence[PooledMachine]) -> list[LaunchPlan]:
+    def _limit_launches_into_returning_zones(
+        self, plans: list[LaunchPlan], machines: Sequence[PooledMachine]
+    ) -> list[LaunchPlan]:
         """Limits launches into a returning zone until one of its machines is verified.
 
         Until then at most `recovery_least` machines are present or being launched there, to test the zone.
@@ -155,7 +160,7 @@
 
     # -- responses of the cloud ------------------------------------------------------------------------
 
-    def on_list(self, listed: Iterable[Listed], began: float) -> None:
+    def on_list(self, listed: Iterable[ListedMachine], began: float) -> None:
         """Processes the cloud's list of machines, requested at `began`.
 
         The list lags: a machine that is missing from it may already be running.
@@ -174,9 +179,9 @@
                 if machine.listed and machine.name not in names:
                     machine.missing_from_lists += 1
 
-    def _reconcile_listed(self, entry: Listed, began: float, now: float) -> None:
+    def _reconcile_listed(self, entry: ListedMachine, began: float, now: float) -> None:
         is_new = self._state.machine_names.find(entry.name) not in self._state.machines
-        machine = self._state.machine_named(entry.name, now)
+        machine = self._state.get_or_add_machine(entry.name, now)
         if is_new:
             log.info("machine found in the cloud's list: machine=%s phase=%s", entry.name, entry.phase)
         machine.launched_at = min(machine.launched_at, began - entry.age_s)
@@ -186,7 +191,7 @@
             machine.zone = self._state.zones.index(entry.zone)
             machine.spot = entry.spot
         if machine.type is None:
-            self._state.learn_type(machine, entry.type)
+            self._state.set_machine_type(machine, entry.type)
         if entry.phase == "failed":
             machine.quarantined = machine.lost = True
 
@@ -215,11 +220,11 @@
             for name in names:
                 if name in self._state.deleted_machines:
                     continue
-                machine = self._state.machine_named(name, now)
+                machine = self._state.get_or_add_machine(name, now)
                 machine.launched_at = min(machine.launched_at, began)
                 machine.zone = pool.zone
                 machine.spot = pool.spot
-                self._state.learn_type(machine, request.type)
+                self._state.set_machine_type(machine, request.type)
 
     def on_launch_failed(self, request: LaunchRequest) -> None:
         """Handles a launch request that was not sent. The pool is not marked as refused by the cloud."""
@@ -239,7 +244,7 @@
         if not launching[pool]:
             del launching[pool]
 
-    def deleted(self, names: Iterable[str]) -> None:
+    def on_deletion_confirmed(self, names: Iterable[str]) -> None:
         """Handles a confirmed deletion (status 200): the machines and all tasks on them no longer exist."""
         with self._state.lock:
             now = self._state.clock()
@@ -252,12 +257,12 @@
                 for placement in list(machine.open.values()):
                     self._state.close(machine, placement, now)
                     placement.job.requeue(placement.task)
-                self._state.seen.pop(machine.index, None)
+                self._state.reported_phases.pop(machine.index, None)
                 self._state.capacity_index.remove(machine)
                 self._state.events.on_machine_deleted(machine.index)
                 self._state.reclaim_pending.pop(machine.index, None)
 
-    def not_deleted(self, names: Iterable[str]) -> None:
+    def on_deletion_unconfirmed(self, names: Iterable[str]) -> None:
         """Handles a deletion that was not confirmed: the next steps decide again.
 
         The machine may or may not exist.
--- a/bayford/coordination/leader/balancer.py
+++ b/bayford/coordination/leader/balancer.py
@@ -18,7 +18,7 @@
 
 def job_and_task(key: AttemptKey) -> tuple[str, int]:
     """Return the job id and the task number of an attempt."""
-    return workers.split_task(key[0]) or ("", 0)
+    return workers.parse_task_id(key[0]) or ("", 0)
 
 
 class Balancer:
@@ -46,7 +46,7 @@
             and machine.reserved_until <= now
             and machine.backoff_until <= now
         ]
-        state.balance_asked += 1
+        state.balancing_rounds += 1
         free_cpus = sum(machine.free_cpus for machine in usable)
         running = sum(len(machine.open) for machine in state.machines.values())
         max_moves = tempered.budget(running, state.policy.balance_share)
@@ -102,9 +102,11 @@
         allowed_machines = placement_rules.candidates(job, usable, zone_counts, now)
         if any(machine.has_room(spec) for machine in allowed_machines):
             return None  # a task fits without migrations and will be placed in a coming round
-        state.balance_tried += 1
+        state.balancing_jobs += 1
         demand = (spec.cpus, spec.gpus, spec.mem_gb)
-        counts = tempered.Counts(state.policy.balance_trials, state.policy.balance_iterations, max_moves)
+        limits = tempered.SearchLimits(
+            state.policy.balance_trials, state.policy.balance_iterations, max_moves
+        )
 
         def allowed(key: AttemptKey, target: int) -> bool:
             # A service is not interrupted for work of lower priority, which can wait.
@@ -115,7 +117,7 @@
 
         best: tempered.Plan | None = None
         for source in self._find_sources(job, demand, allowed_machines, hosts):
-            plan = tempered.free_room(list(hosts.values()), source, demand, counts, allowed, state.rng)
+            plan = tempered.free_room(list(hosts.values()), source, demand, limits, allowed, state.rng)
             if plan is not None and (best is None or plan.imbalance < best.imbalance):
                 best = plan
         return best
--- a/bayford/coordination/leader/cloud_operations.py
+++ b/bayford/coordination/leader/cloud_operations.py
@@ -14,7 +14,7 @@
 from bayford.coordination.leader.scaling_actions import LaunchRequest, ScalingActions
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.coordination.token_bucket import TokenBucket
-from bayford.protocol.cloud_api import Cloud, CloudBusyError, Listed, NoCapacityError
+from bayford.protocol.cloud_api import Cloud, CloudBusyError, ListedMachine, NoCapacityError
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
     def is_verified_leader(self) -> bool:
         """Returns whether this controller is verified to be the leader and may act on its present state."""
 
-    def no_competing_leader(self) -> bool:
+    def has_no_competing_leader(self) -> bool:
         """Returns whether no controller can verify that it is the leader, and this one was the last leader.
 
         The last leader is taken from the leadership record.
@@ -80,7 +80,7 @@
         self._launch_queue: queue.Queue[LaunchRequest] = queue.Queue(LAUNCH_QUEUE_SIZE)
         self._deletions: queue.Queue[str] = queue.Queue()  # contains each machine at most once
 
-    def carry_out(self, step: ScalingActions) -> None:
+    def enqueue(self, step: ScalingActions) -> None:
         """Queues the launches and deletions that the scheduler decided on."""
         for request in step.launches:
             try:
@@ -105,12 +105,12 @@
         if not self._scheduler.leader:
             return LIST_PERIOD_S
         began = self._clock()
-        listed: list[Listed] = []
+        listed: list[ListedMachine] = []
         pages = 0
         more = True
         while more:
             self.pace()
-            page = self._cloud.machines(listed[-1].name if listed else "")
+            page = self._cloud.list_machines(listed[-1].name if listed else "")
             listed += page.machines
             pages += 1
             more = page.more and bool(page.machines)
@@ -183,8 +183,10 @@
         if not self._leadership.is_verified_leader():
             # This process may have been paused since the decision, and another leader may manage the
             # machines by now.
-            overdue = self._scheduler.overdue() if self._leadership.no_competing_leader() else set()
-            self._scheduler.not_deleted([name for name in names if name not in overdue])
+            overdue = (
+                self._scheduler.overdue_machines() if self._leadership.has_no_competing_leader() else set()
+            )
+            self._scheduler.on_deletion_unconfirmed([name for name in names if name not in overdue])
             names = [name for name in names if name in overdue]
             if not names:
                 return False
@@ -192,8 +194,8 @@
             self._cloud.delete(names)
         except CloudBusyError as error:
             log.info("deletion not confirmed: machines=%s error=%s", ",".join(names), error)
-            self._scheduler.not_deleted(names)
+            self._scheduler.on_deletion_unconfirmed(names)
             return False
-        self._scheduler.deleted(names)
+        self._scheduler.on_deletion_confirmed(names)
         self._on_change()
         return True
--- a/bayford/coordination/leader/group_commit.py
+++ b/bayford/coordination/leader/group_commit.py
@@ -49,7 +49,7 @@
             )
             return self._state.in_flight
 
-    def committed(self, batch: CommitBatch) -> None:
+    def on_committed(self, batch: CommitBatch) -> None:
         """Handle a batch that is durable: its placements may start and its jobs may be reported done."""
         with self._state.lock:
             if not self._state.leader or batch.term != self._state.term:
@@ -60,14 +60,14 @@
                 if placement.job.open.get(placement.task) is placement:
                     placement.durable = True
                     machines_to_wake.add(placement.machine)
-            for job_id in batch.over:
+            for job_id in batch.closed_jobs:
                 self._state.drop_job(job_id)
             for machine in machines_to_wake:
                 self._state.events.on_commands_ready(machine)
             for migrations in batch.migrations.values():
                 self._state.events.on_migrations_counted(migrations)
 
-    def not_committed(self, batch: CommitBatch) -> None:
+    def on_not_committed(self, batch: CommitBatch) -> None:
         """Handle a batch that was refused, conflicted or got no response: queue its changes to be written
         again.
 
@@ -83,7 +83,7 @@
             for job_id, tasks in batch.tasks.items():
                 if job_id in self._state.jobs:
                     self._state.dirty.setdefault(job_id, set()).update(tasks)
-            for job_id in batch.over:
+            for job_id in batch.closed_jobs:
                 if job_id in self._state.jobs:
                     self._state.pending_completions[job_id] = None
             for job_id, migrations in batch.migrations.items():
@@ -183,22 +183,22 @@
             if not job.cancelled and not self._add_final_record(job_id, job):
                 del state.pending_completions[job_id]
                 continue
-            self._rows[-1].add_over(job_id)
-            self._batch.over.append(job_id)
+            self._rows[-1].add_ended_job(job_id)
+            self._batch.closed_jobs.append(job_id)
 
     def _add_final_record(self, job_id: str, job: Job) -> bool:
         """Add the job's final record, which marks it as done. Return False if the record exceeds the size
         limit of a value."""
         final = records.Record(job.spec, job.created_wall, 0.0, True, len(job.done))
-        value = records.fitted(final, self._row_bytes)
-        if records.size(value) > self._row_bytes:
+        value = records.encode_within(final, self._row_bytes)
+        if records.encoded_size(value) > self._row_bytes:
             # Any transaction with this record would be refused, which would block the commits of all jobs.
             log.error(
                 "job record too large, completion not written: job=%s max_bytes=%d", job_id, self._row_bytes
             )
             return False
-        self._batch.conditions[records.key(job_id)] = job.version
-        self._batch.puts.append(Put(records.key(job_id), value))
+        self._batch.conditions[records.job_key(job_id)] = job.version
+        self._batch.puts.append(Put(records.job_key(job_id), value))
         return True
 
     def _add_migration_counts(self) -> None:
@@ -227,5 +227,5 @@
                 state.dirty[job_id] = remaining
             else:
                 del state.dirty[job_id]
-        for job_id in self._batch.over:
+        for job_id in self._batch.closed_jobs:
             del state.pending_completions[job_id]
--- a/bayford/coordination/leader/heartbeat_handler.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -26,25 +26,29 @@
         self._tasks = TaskReconciliation(state, self._health)
 
     def on_heartbeat(
-        self, heartbeat: workers.Heartbeat, after: float = NEVER, relay: str = "", asked: bool = False
+        self,
+        heartbeat: workers.Heartbeat,
+        sent_after: float = NEVER,
+        relay: str = "",
+        is_command_response: bool = False,
     ) -> int | None:
         """Apply a heartbeat and return the index of its machine, or None if it must not be answered.
 
         A heartbeat is not answered if this controller is not the leader, the machine is deleted, or the
         heartbeat belongs to an earlier epoch.
 
-        `after` is a lower bound (steady clock) of the time at which the heartbeat was sent: the time of the
-        answer to the previous heartbeat on the same connection. A heartbeat may be delivered minutes late,
-        and nothing else bounds its age. `relay` is the controller that forwarded it, empty if the worker sent
-        it directly. `asked` is true if it is the response to a direct command; the answer to an earlier
-        heartbeat may then still be in flight.
+        `sent_after` is a lower bound (steady clock) of the time at which the heartbeat was sent: the time of
+        the answer to the previous heartbeat on the same connection. A heartbeat may be delivered minutes
+        late, and nothing else bounds its age. `relay` is the controller that forwarded it, empty if the
+        worker sent it directly. `is_command_response` is true if it is the response to a direct command; the
+        answer to an earlier heartbeat may then still be in flight.
         """
         state = self._state
         with state.lock:
             if not state.leader or not state.complete or heartbeat.machine in state.deleted_machines:
                 return None
             now = state.clock()
-            machine = state.machine_named(heartbeat.machine, now)
+            machine = state.get_or_add_machine(heartbeat.machine, now)
             order = (heartbeat.epoch, heartbeat.sequence)
             if order <= (machine.epoch, machine.sequence) and machine.registered:
                 # A newer heartbeat arrived first, for example the response to a direct command. This one has
@@ -54,15 +58,15 @@
             if heartbeat.epoch > machine.epoch:
                 self._on_new_epoch(machine, heartbeat.epoch, now)
             phases = {(task.task_id, task.attempt): task.phase for task in heartbeat.tasks}
-            if not asked and not relay:
+            if not is_command_response and not relay:
                 self._health.check_acknowledged(machine, phases)
             self._update_machine(machine, heartbeat, relay, now)
             for task in heartbeat.tasks:
                 placement = machine.open.get((task.task_id, task.attempt))
                 if placement is not None:
                     self._tasks.reconcile(machine, placement, task, now)
-            state.seen[machine.index] = phases
-            self._close_unstarted(machine, phases, after)
+            state.reported_phases[machine.index] = phases
+            self._close_unstarted(machine, phases, sent_after)
             if not machine.open and machine.idle_since <= 0:
                 machine.idle_since = now
             return machine.index
@@ -124,7 +128,7 @@
         machine.zone = self._state.zones.index(heartbeat.zone)
         machine.spot = heartbeat.spot
         machine.idle_since = now
-        self._state.learn_type(machine, heartbeat.type)
+        self._state.set_machine_type(machine, heartbeat.type)
         self._state.capacity_index.update(machine)
 
     def _on_new_epoch(self, machine: Machine, epoch: int, now: float) -> None:
@@ -137,12 +141,12 @@
             log.info("lease expired: machine=%s epoch=%d tasks_lost=%d", machine.name, epoch, len(lost))
         machine.epoch = epoch
         machine.sequence = -1
-        self._state.seen[machine.index] = {}
+        self._state.reported_phases[machine.index] = {}
         for placement in lost:
             self._state.close(machine, placement, now)
             placement.job.requeue(placement.task)
 
-    def _close_unstarted(self, machine: Machine, phases: dict[AttemptKey, str], after: float) -> None:
+    def _close_unstarted(self, machine: Machine, phases: dict[AttemptKey, str], sent_after: float) -> None:
         """Close placements of cancelled jobs that the worker does not list.
 
         This is safe only if the heartbeat was sent after the cancellation was committed. No controller then
@@ -154,5 +158,5 @@
         now = self._state.clock()
         for key, placement in list(machine.open.items()):
             is_absent = key not in phases and placement.epoch == machine.epoch
-            if placement.job.cancelled and is_absent and after >= placement.job.cancel_known:
+            if placement.job.cancelled and is_absent and sent_after >= placement.job.cancel_learned_at:
                 self._state.close(machine, placement, now)
--- a/bayford/coordination/leader/job_records.py
+++ b/bayford/coordination/leader/job_records.py
@@ -50,7 +50,7 @@
             spec = record.spec
             job = state.jobs.get(spec.id)
             if job is None:
-                if not record.over and self._load_job(record, version, state.clock()) is not None:
+                if not record.is_final and self._load_job(record, version, state.clock()) is not None:
                     state.record_accepted_job(spec)
                     log.info("job accepted: job=%s tasks=%d", spec.id, spec.tasks)
                 return
@@ -94,7 +94,7 @@
     @staticmethod
     def _mark_cancelled(job: Job, cancelled_wall: float, now: float, wall: float) -> None:
         job.cancelled = True
-        job.cancel_known = now
+        job.cancel_learned_at = now
         job.cancelled_at = now - max(0.0, wall - cancelled_wall)
 
     def _load_job(
@@ -106,7 +106,7 @@
         unknown.
         """
         state, spec = self._state, record.spec
-        if record.over and (progress is None or not progress.open):
+        if record.is_final and (progress is None or not progress.open):
             return None
         team = state.team_names.find(spec.team)
         if team is None:  # removed from the settings: its tasks run on without a quota
@@ -151,10 +151,10 @@
     def _load_placements(self, job: Job, progress: Progress, now: float) -> None:
         state = self._state
         for task, (attempt, machine_name, epoch) in progress.open.items():
-            machine = state.machine_named(machine_name, now)
+            machine = state.get_or_add_machine(machine_name, now)
             placement = state.make_placement(job, task, attempt, machine, epoch)
             placement.durable = True
-            state.book(job, machine, placement)
+            state.open_placement(job, machine, placement)
             if job.cancelled:  # the cancellation still applies under the new leader
                 state.stop(placement, 0.0)
 
--- a/bayford/coordination/leader/leader_state.py
+++ b/bayford/coordination/leader/leader_state.py
@@ -40,7 +40,7 @@
 
 log = logging.getLogger(__name__)
 
-ROOM_KEPT_S = 4.0  # seconds for which capacity freed for a job stays reserved for it
+RESERVATION_S = 4.0  # seconds for which capacity freed for a job stays reserved for it
 MAX_URGENT_JOBS = 21  # number of most recent urgent jobs kept in `LeaderState.urgent_jobs`
 MAX_STALENESS_MARGIN_S = 5.0  # upper bound of the margin in `LeaderState.staleness_limit`
 STALENESS_MARGIN_SHARE = 0.25
@@ -150,7 +150,7 @@
         # By job id: migrations whose restart counts are not durable yet.
         self.uncounted_migrations: dict[str, list[Migration]] = {}
         self.obsolete_counts: dict[str, None] = {}  # ended jobs whose stored restart counts may be deleted
-        self.moves = 0  # number of migrations started
+        self.migrations = 0  # number of migrations started
 
     def _clear_scaling(self) -> None:
         self.listed_at = NEVER  # when the latest machine list was requested from the cloud
@@ -165,8 +165,8 @@
         self.refusals = 0  # starts that workers refused because their machines were full
         self.starts = 0  # start commands sent
         self.balanced_at = NEVER
-        self.balance_asked = 0  # rounds in which tasks waited although their team had headroom
-        self.balance_tried = 0  # jobs in those rounds for which migrations were searched for
+        self.balancing_rounds = 0  # rounds in which tasks waited although their team had headroom
+        self.balancing_jobs = 0  # jobs in those rounds for which migrations were searched for
         self.preempt_at = NEVER  # earliest time of the next search for preemptions
         self.spread_at = NEVER  # earliest time of the next search for a migration that spreads load
         self.images_at = NEVER  # when `local_images` was computed
@@ -198,7 +198,7 @@
                 log.info("leader stepping down: fencing_token=%d term=%d", self.fencing_token, self.term)
             self.clear()
 
-    def verified(self, as_of: float, term: int) -> None:
+    def record_verification(self, as_of: float, term: int) -> None:
         """Record that a read sent at `as_of` returned the leadership record of this term, and that every
         cancellation committed before `as_of` has been applied. Takes the lock."""
         with self.lock:
@@ -206,11 +206,11 @@
                 self.verified_at = max(self.verified_at, as_of)
 
     def make_placement(self, job: Job, task: int, attempt: int, machine: Machine, epoch: int) -> Placement:
-        """Return a new placement, which reserves no capacity until `book` is called."""
-        task_id = workers.task_name(job.spec.id, task)
+        """Return a new placement, which reserves no capacity until `open_placement` is called."""
+        task_id = workers.format_task_id(job.spec.id, task)
         return Placement(job, task, attempt, machine.index, epoch, task_id)
 
-    def book(self, job: Job, machine: Machine, placement: Placement) -> None:
+    def open_placement(self, job: Job, machine: Machine, placement: Placement) -> None:
         """Open a placement: reserve capacity on its machine and in its team's quota until `close`."""
         job.open[placement.task] = placement
         machine.open[placement.key] = placement
@@ -235,7 +235,7 @@
         self.quotas[job.team].release(job.spec)
         if not machine.open:
             machine.idle_since = now
-        self.touch(job, placement.task)
+        self.mark_dirty(job, placement.task)
         if job.cancelled:
             self.queue_completion(job)
         elif job.is_service and placement.running_since is not None:
@@ -250,7 +250,7 @@
         self.stopping[placement] = None
         self.events.on_stop_requested(placement.machine)
 
-    def touch(self, job: Job, task: int) -> None:
+    def mark_dirty(self, job: Job, task: int) -> None:
         """Mark the task's state as changed, so that the next commit writes it."""
         self.dirty.setdefault(job.spec.id, set()).add(task)
 
@@ -271,8 +271,8 @@
         self.dirty.pop(job_id, None)
         self.pending_completions.pop(job_id, None)
         self.uncounted_migrations.pop(job_id, None)
-        if self.restarts.knows(job_id):
-            self.restarts.forget(job_id)
+        if self.restarts.has_counts(job_id):
+            self.restarts.remove_job(job_id)
             self.obsolete_counts[job_id] = None
 
     def record_accepted_job(self, spec: JobSpec) -> None:
@@ -284,7 +284,7 @@
             self.urgent_jobs.append(UrgentJob(self.clock(), spec.cpus * spec.tasks))
         self.events.on_job_accepted(spec)
 
-    def expected(self, job: Job) -> float:
+    def expected_run_s(self, job: Job) -> float:
         """Return the expected run time of one task in seconds: the user's estimate, corrected by the observed
         run times of the job's class."""
         if job.spec.shape == SERVICE:
@@ -302,7 +302,7 @@
         return None if index is None else self.quotas[index]
 
     @property
-    def quiet_s(self) -> float:
+    def max_heartbeat_age_s(self) -> float:
         """Seconds without a heartbeat after which a machine receives no replica and no migrated task."""
         return self.policy.service_quiet_heartbeats * self.settings.facts.workers.heartbeat_interval_s
 
--- a/bayford/coordination/leader/load_spreader.py
+++ b/bayford/coordination/leader/load_spreader.py
@@ -96,14 +96,14 @@
         snapshots = {snapshot.index: snapshot for snapshot in self._sample_snapshots(now)}
         hosts = [self._build_host(snapshot, now) for snapshot in snapshots.values()]
         running = sum(len(job.open) for job in state.jobs.values())
-        counts = tempered.Counts(
+        limits = tempered.SearchLimits(
             policy.balance_trials, policy.balance_iterations, tempered.budget(running, policy.balance_share)
         )
 
         def allowed(key: AttemptKey, target: int) -> bool:
             return self._can_migrate(key, target, now)
 
-        plan = rebalance(hosts, policy.spread_threshold, counts, allowed, state.rng)
+        plan = rebalance(hosts, policy.spread_threshold, limits, allowed, state.rng)
         if plan is not None:
             self._carry_out(plan, snapshots, now)
 
@@ -115,7 +115,9 @@
         for machine in state.machines.values():
             if machine.registered and machine.type is None:
                 self._log_unknown_type(machine)
-            elif machine.reserved_until <= now and snapshot_of(machine, now).accepts(state.quiet_s):
+            elif machine.reserved_until <= now and snapshot_of(machine, now).accepts(
+                state.max_heartbeat_age_s
+            ):
                 accepting.append(machine)
         return [snapshot_of(machine, now) for machine in self._balancer.sample_machines(accepting)]
 
@@ -162,7 +164,7 @@
         machine = state.machines[target]
         running_since = now if placement.running_since is None else placement.running_since
         ran_s = now - running_since
-        left_s = state.expected(job) - ran_s
+        left_s = state.expected_run_s(job) - ran_s
         fetch_s = 0.0 if machine.images.get(job.image) else state.fetch_s(job, machine)
         lost_s = 0.0 if job.spec.checkpoint_interval_s > 0 else ran_s
         is_worthwhile = left_s > MIN_GAIN * (job.spec.checkpoint_save_s + fetch_s + lost_s)
--- a/bayford/coordination/leader/migrator.py
+++ b/bayford/coordination/leader/migrator.py
@@ -9,7 +9,7 @@
 
 from bayford.coordination.leader.commit_batch import Migration
 from bayford.coordination.leader.leader_events import LeaderListener
-from bayford.coordination.leader.leader_state import ROOM_KEPT_S, LeaderState
+from bayford.coordination.leader.leader_state import RESERVATION_S, LeaderState
 from bayford.scheduling import preemption
 from bayford.scheduling.model import Job, Placement
 
@@ -39,7 +39,7 @@
             return
         for migration in migrations:
             job = migration.placement.job
-            state.restarts.note(job.spec.id, migration.placement.task)
+            state.restarts.record_migration(job.spec.id, migration.placement.task)
             state.uncounted_migrations.setdefault(job.spec.id, []).append(migration)
 
     def on_migrations_counted(self, migrations: Sequence[Migration]) -> None:
@@ -54,9 +54,9 @@
                 log.info("migration dropped: task=%s reason=%s", migration.placement.task_id, reason)
                 continue
             job = migration.placement.job
-            job.hints[migration.placement.task] = migration.target
+            job.migration_targets[migration.placement.task] = migration.target
             self._state.stop(migration.placement, preemption.stop_grace_s(job.spec))
-            self._state.moves += 1
+            self._state.migrations += 1
 
     def _rejection_reason(self, migration: Migration) -> str:
         """Return the reason why the migration can no longer begin, or an empty string if it can."""
@@ -77,4 +77,7 @@
         """Reserve the machine for a job until the migrated tasks have had time to save their checkpoints."""
         machine = self._state.machines[index]
         save_s = max((placement.job.spec.checkpoint_save_s for placement in moved), default=0.0)
-        machine.reserved_for, machine.reserved_until = job.spec.id, self._state.clock() + ROOM_KEPT_S + save_s
+        machine.reserved_for, machine.reserved_until = (
+            job.spec.id,
+            self._state.clock() + RESERVATION_S + save_s,
+        )
--- a/bayford/coordination/leader/preemptor.py
+++ b/bayford/coordination/leader/preemptor.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from bayford.coordination.leader.leader_state import ROOM_KEPT_S, LeaderState
+from bayford.coordination.leader.leader_state import RESERVATION_S, LeaderState
 from bayford.scheduling import placement_rules, preemption
 from bayford.scheduling.model import EPS, URGENT, Job, Machine, Placement
 from bayford.scheduling.quota import TeamQuota
@@ -132,7 +132,7 @@
         """Return the CPUs released per second by finishing tasks, estimated from their expected run times."""
         state = self._state
         return sum(
-            len(job.open) * job.spec.cpus / max(1.0, state.expected(job))
+            len(job.open) * job.spec.cpus / max(1.0, state.expected_run_s(job))
             for job in state.jobs.values()
             if not job.is_service
         )
@@ -152,11 +152,11 @@
             # Without the reservation, smaller tasks would take the capacity that is already free there, and
             # the stops would not make enough room.
             machine = state.machines[option.machine]
-            machine.reserved_for, machine.reserved_until = job.spec.id, search.now + ROOM_KEPT_S
+            machine.reserved_for, machine.reserved_until = job.spec.id, search.now + RESERVATION_S
             unmet_guarantee -= 1
             tasks -= 1
             for victim in victims:
-                victim.job.note_preemption(victim.placement.task)
+                victim.job.record_preemption(victim.placement.task)
                 search.quotas[victim.job.team].release(victim.job.spec)
                 state.stop(victim.placement, preemption.stop_grace_s(victim.job.spec))
                 search.preemptions_left -= 1
@@ -175,7 +175,7 @@
         state = self._state
         now = search.now
         zone_counts = placement_rules.placements_by_zone(waiting, state.zone_of)
-        max_silence_s = state.quiet_s
+        max_silence_s = state.max_heartbeat_age_s
         skip_ending = waiting.spec.priority < URGENT  # non-urgent work does not stop tasks that end soon
         options: list[preemption.PreemptionOption] = []
         candidates = placement_rules.candidates(waiting, search.machines, zone_counts, now)
@@ -191,7 +191,7 @@
             ]
             if not victims:
                 continue
-            option = preemption.victims_on(machine, waiting, victims, MAX_STOPS_PER_MACHINE)
+            option = preemption.choose_victims(machine, waiting, victims, MAX_STOPS_PER_MACHINE)
             if option is not None:
                 option.cost = self._placement_cost(machine, waiting, option.cost)
                 options.append(option)
@@ -214,7 +214,7 @@
         loss = search.losses.get(placement)
         if loss is None:
             state = self._state
-            expected_s = state.expected(placement.job)
+            expected_s = state.expected_run_s(placement.job)
             loss = preemption.lost_work(placement.job, placement, search.now, expected_s)
             loss += preemption.delay_cost(
                 placement.job, placement, search.now, expected_s, state.due_s(placement.job)
@@ -226,7 +226,7 @@
         """Return whether a task is expected to finish soon, in which case stopping it would waste its
         work."""
         ran_s = 0.0 if placement.running_since is None else now - placement.running_since
-        return self._state.expected(placement.job) - ran_s < self._state.policy.guarantee_wait_s / 2
+        return self._state.expected_run_s(placement.job) - ran_s < self._state.policy.guarantee_wait_s / 2
 
     def _placement_cost(self, machine: Machine, waiting: Job, loss: float) -> float:
         """Return the total cost of placing the waiting task on this machine. `loss`: the cost of the stops
@@ -284,6 +284,6 @@
         lower priority, then those that lose the least work."""
         job = placement.job
         machine = self._state.machines[placement.machine]
-        loss = preemption.lost_work(job, placement, now, self._state.expected(job))
+        loss = preemption.lost_work(job, placement, now, self._state.expected_run_s(job))
         replica_allowed = placement_rules.type_allowed(service, machine) and machine.usable
         return _TeamVictim((not replica_allowed, job.spec.priority, loss, placement.key), placement)
--- a/bayford/coordination/leader/scaling_loop.py
+++ b/bayford/coordination/leader/scaling_loop.py
@@ -51,14 +51,14 @@
         Returns the seconds to wait until the next call.
         """
         if self._scheduler.leader:
-            self._cloud_operations.carry_out(self.scaling_once())
+            self._cloud_operations.enqueue(self.decide_scaling())
         # This comes last: a write that fails during an outage must not prevent the deletion of overdue
         # machines.
         if self._scheduler.leader and self._scheduler.policy.recovery:
             self.monitor_zones()
         return STEP_PERIOD_S
 
-    def scaling_once(self) -> ScalingActions:
+    def decide_scaling(self) -> ScalingActions:
         """Returns the machines to launch and to delete now.
 
         While leadership is not verified, nothing is launched and at most overdue machines are deleted.
@@ -69,27 +69,27 @@
         if self._verifier.is_verified_leader():
             return self._scheduler.scaling_step(self._listening_since())
         self._accepting_since = self._clock()
-        if self._verifier.no_competing_leader():
-            return self._scheduler.overdue_step()
+        if self._verifier.has_no_competing_leader():
+            return self._scheduler.request_overdue_deletions()
         return ScalingActions()
 
     def monitor_zones(self) -> None:
         """Updates the states of the zones and writes the records that have changed."""
         facts = LeadershipFacts(
             self._verifier.is_verified_leader(),
-            self._connectivity.store_reachable(),
+            self._connectivity.is_store_reachable(),
             self._clock() - self._listening_since(),
         )
-        puts = self._scheduler.monitor_zones(facts, self._peers.reach_by_zone())
+        puts = self._scheduler.monitor_zones(facts, self._peers.reachability_by_zone())
         if not puts:
             return
         try:
             self._writes.take(len(puts))
             conditions = {records.LEADERSHIP: self._scheduler.term}
             if not self._store.compare_and_swap(conditions, puts).applied:
-                self._scheduler.zones_not_written(puts)
+                self._scheduler.on_zones_not_written(puts)
         except (UnavailableError, OutcomeUnknownError):
-            self._scheduler.zones_not_written(puts)
+            self._scheduler.on_zones_not_written(puts)
             raise
 
     def _listening_since(self) -> float:
--- a/bayford/coordination/leader/scheduling_queue.py
+++ b/bayford/coordination/leader/scheduling_queue.py
@@ -46,7 +46,7 @@
                 continue
             count = self._count_within_limit(job)
             if count <= 0:
-                job.why_waiting = "team limit"
+                job.waiting_reason = "team limit"
                 continue
             if with_turns and self.is_starved(job, now):
                 turn = math.ceil(job.spec.tasks * self._state.policy.turn_share)
@@ -85,7 +85,7 @@
         # Without an objective for individual jobs, the longest tasks go first: if they started last, they
         # would still be running when everything else has finished.
         has_no_objective = self._state.due_s(job) is None
-        rank = -self._state.expected(job) if has_no_objective else self._rank(job, now)
+        rank = -self._state.expected_run_s(job) if has_no_objective else self._rank(job, now)
         order = (2.0, guarantee_rank, -float(job.spec.priority), float(has_no_objective), rank)
         entries.append(QueueEntry(order, job, count))
         return entries
@@ -110,7 +110,7 @@
         age_s = now - job.created
         if job.is_service:
             return len(job.waiting) / (1.0 + age_s / self._state.policy.aging_s)
-        run_s = self._state.expected(job)
+        run_s = self._state.expected_run_s(job)
         work = (len(job.waiting) + 0.5 * len(job.open)) * run_s * max(job.spec.cpus, 0.1)
         return work / (1.0 + age_s / self._state.policy.aging_s)
 
@@ -126,7 +126,7 @@
         waiting = sorted((job for job in state.jobs.values() if job.waiting), key=lambda job: job.created)
         lines = []
         for job in waiting[:max_jobs]:
-            reason = "back-off after failed runs" if job.not_before > now else job.why_waiting
+            reason = "back-off after failed runs" if job.not_before > now else job.waiting_reason
             lines.append(
                 f"job waiting: job={job.spec.id} team={job.spec.team} tasks={len(job.waiting)} "
                 f"age_s={now - job.created:.0f} reason={reason or 'not served yet'}"
@@ -135,7 +135,7 @@
         registered = sum(machine.registered for machine in state.machines.values())
         lines.append(
             f"scheduler: jobs_waiting={len(waiting)} tasks_placed={running} machines={len(state.machines)} "
-            f"registered={registered} refusals={state.refusals} balancer_asked={state.balance_asked} "
-            f"balancer_tried={state.balance_tried} migrations={state.moves} starts={state.starts}"
+            f"registered={registered} refusals={state.refusals} balancer_asked={state.balancing_rounds} "
+            f"balancer_tried={state.balancing_jobs} migrations={state.migrations} starts={state.starts}"
         )
         return lines
--- a/bayford/coordination/leader/scheduling_round.py
+++ b/bayford/coordination/leader/scheduling_round.py
@@ -50,7 +50,7 @@
                 self.balancer.free_room(waiting, now)
             self.spreader.step(any(job.waiting for job in waiting), now)
 
-    def waiting(self, max_jobs: int = 5) -> list[str]:
+    def waiting_report(self, max_jobs: int = 5) -> list[str]:
         """Return log lines: the longest-waiting jobs, at most `max_jobs`, with the reasons why they wait, and
         totals of the scheduler. Empty if this controller is not the leader."""
         with self._state.lock:
@@ -73,7 +73,7 @@
         for entry in queue:
             job, count = entry.job, entry.count
             if not self._state.capacity_index:
-                job.why_waiting = NO_ROOM
+                job.waiting_reason = NO_ROOM
                 continue
             # With load spread, the placement cost weighs the fetch against the load instead.
             waits_for_image = (
@@ -143,5 +143,5 @@
                     self._state.stop(placement, job.spec.checkpoint_grace_s)
                 continue
             ran_s = 0.0 if placement.running_since is None else now - placement.running_since
-            if max(0.0, self._state.expected(job) - ran_s) > left_s * 1.5:
+            if max(0.0, self._state.expected_run_s(job) - ran_s) > left_s * 1.5:
                 self._state.stop(placement, 0.0)
--- a/bayford/coordination/leader/task_reconciliation.py
+++ b/bayford/coordination/leader/task_reconciliation.py
@@ -31,7 +31,7 @@
         placement.started = True
         if status.phase == workers.FETCHING:
             machine.images.setdefault(placement.job.image, False)
-            self._state.capacity_index.holds(machine, placement.job.image)
+            self._state.capacity_index.add_image(machine, placement.job.image)
         elif status.phase == workers.RUNNING:
             self._on_running(machine, placement, now)
         elif status.phase == workers.ENDED:
@@ -40,15 +40,15 @@
     def _on_running(self, machine: Machine, placement: Placement, now: float) -> None:
         if placement.running_since is None:
             placement.running_since = now - self._assumed_run_s(placement)
-            self._state.use_image(machine, placement.job, there=True)
-            if placement.job.is_service and placement.placed_here:
+            self._state.use_image(machine, placement.job, is_fetched=True)
+            if placement.job.is_service and placement.placed_by_this_leader:
                 self._log_replica_running(machine, placement, now)
         elif (
             placement.job.is_service and now - MIN_HEALTHY_RUN_S > placement.running_since > machine.failed_at
         ):
             # Services have no completed tasks, so a steadily running replica is the evidence that the machine
             # works.
-            machine.failed_jobs.clear()
+            machine.failures_by_job.clear()
 
     def _assumed_run_s(self, placement: Placement) -> float:
         """Return the assumed run time so far, in seconds, of a task that is first seen running.
@@ -57,9 +57,9 @@
         assumed. If its run were counted from the failover, the task would appear to have just started, and
         therefore cheap to preempt.
         """
-        if placement.placed_here or placement.job.is_service:
+        if placement.placed_by_this_leader or placement.job.is_service:
             return 0.0
-        return 0.5 * self._state.expected(placement.job)
+        return 0.5 * self._state.expected_run_s(placement.job)
 
     def _log_replica_running(self, machine: Machine, placement: Placement, now: float) -> None:
         """Log the downtime of a replica and the parts it consists of."""
@@ -106,10 +106,10 @@
         job = placement.job
         job.done.add(placement.task)
         self._state.events.on_task_done(placement)
-        self._state.use_image(machine, job, there=True)
+        self._state.use_image(machine, job, is_fetched=True)
         machine.completed_tasks += 1
-        machine.failed_jobs.clear()
-        if placement.running_since is not None and placement.placed_here:
+        machine.failures_by_job.clear()
+        if placement.running_since is not None and placement.placed_by_this_leader:
             # Run times counted from a failover must not be observed: the estimator would learn that tasks end
             # within seconds. The backlog would then appear empty, so that too few machines are launched and
             # nothing is preempted for urgent jobs.
--- a/bayford/coordination/leader/worker_commands.py
+++ b/bayford/coordination/leader/worker_commands.py
@@ -36,7 +36,7 @@
             machine = self._state.machines.get(index)
             if machine is None or not self._state.leader:
                 return PendingCommands([], False)
-            phases = self._state.seen[index]
+            phases = self._state.reported_phases[index]
             commands = self._list_stops_and_reaps(machine, phases)
             gated = self._add_starts(commands, machine, phases, arrival)
             return PendingCommands(commands, gated)
@@ -47,7 +47,7 @@
             placement = machine.open.get(key)
             task_id, attempt = key
             if phase == workers.ENDED:
-                job_id, task = workers.split_task(task_id) or ("", 0)
+                job_id, task = workers.parse_task_id(task_id) or ("", 0)
                 if placement is None and not self._state.is_uncommitted(job_id, task):
                     commands.append(workers.Reap(task_id, attempt))
             elif placement is None:
--- a/bayford/coordination/leader/zone_monitor.py
+++ b/bayford/coordination/leader/zone_monitor.py
@@ -84,7 +84,7 @@
                 continue
             if zone is not None:
                 self.statuses[zone] = status
-                self.losses[zone] = [TaskOutcomes.of(loss) for loss in record.losses]
+                self.losses[zone] = [TaskOutcomes.from_stored(loss) for loss in record.losses]
                 self._record_missed_outcomes(zone)
         self._update_scheduling_state()
 
@@ -187,7 +187,7 @@
                 if state.zone_of(machine) != zone
             }
         self._unwritten.add(zone)
-        self._last_write_at = 0.0  # the next `puts` writes at once
+        self._last_write_at = 0.0  # the next `take_due_records` writes at once
 
     def _find_open_tasks(self, zone: int) -> set[TaskKey]:
         """Returns the tasks with an open placement on a machine of the zone."""
@@ -210,7 +210,7 @@
             used = {placement.job.image for placement in machine.open.values()}
             for image in [image for image in machine.images if image not in used]:
                 del machine.images[image]
-                state.capacity_index.dropped(machine, image)
+                state.capacity_index.remove_image(machine, image)
 
     def _update_scheduling_state(self) -> None:
         """Stores in the state the zones and machines that the scheduling rounds depend on."""
@@ -248,7 +248,7 @@
         """See `LeaderListener`."""
         key = (placement.job.spec.id, placement.task)
         for zone, losses in self.losses.items():
-            if any(outcomes.note_done(key) for outcomes in losses):
+            if any(outcomes.record_finished(key) for outcomes in losses):
                 self._unwritten.add(zone)
 
     def on_task_placed(self, placement: Placement) -> None:
@@ -256,7 +256,7 @@
         key = (placement.job.spec.id, placement.task)
         machine = self._state.machine_names[placement.machine]
         for zone, losses in self.losses.items():
-            if any(outcomes.note_placed(key, machine) for outcomes in losses):
+            if any(outcomes.record_rerun(key, machine) for outcomes in losses):
                 self._unwritten.add(zone)
 
     def _record_missed_outcomes(self, zone: int) -> None:
@@ -267,9 +267,9 @@
                 job_id, task = key
                 job = state.jobs.get(job_id)
                 if job is None or task in job.done:
-                    outcomes.note_ended_unseen(key)
+                    outcomes.record_ended_unseen(key)
                 elif task in job.open and state.zone_of(job.open[task].machine) not in (None, zone):
-                    outcomes.note_placed(key, state.machine_names[job.open[task].machine])
+                    outcomes.record_rerun(key, state.machine_names[job.open[task].machine])
                 else:
                     continue
                 self._unwritten.add(zone)
@@ -278,7 +278,7 @@
         for zone, losses in self.losses.items():
             for outcomes in losses:
                 for key in [key for key in outcomes.open if self._is_cancelled(key)]:
-                    outcomes.note_cancelled(key)
+                    outcomes.record_cancelled(key)
                     self._unwritten.add(zone)
 
     def _is_cancelled(self, key: TaskKey) -> bool:
@@ -293,7 +293,7 @@
 
     # -- records ---------------------------------------------------------------------------------------
 
-    def puts(self) -> list[Put]:
+    def take_due_records(self) -> list[Put]:
         """Returns the records to write now. The caller writes them on condition of the leader's term."""
         state = self._state
         now = state.clock()
@@ -307,7 +307,7 @@
         self._unwritten.clear()
         return puts
 
-    def not_written(self, puts: list[Put]) -> None:
+    def mark_unwritten(self, puts: list[Put]) -> None:
         """Marks these records to be written again, after a write that failed or whose outcome is unknown."""
         for put in puts:
             zone = self._state.zones.find(put.key[len(zone_record.key("")) :])
@@ -326,6 +326,6 @@
             state=status.state.value,
             since=status.since + offset_s,
             flaps=status.flaps,
-            losses=[outcomes.record() for outcomes in losses],
+            losses=[outcomes.to_stored() for outcomes in losses],
         )
         return zone_record.encode(record, state.limits.value_bytes)
--- a/bayford/coordination/leadership/connectivity.py
+++ b/bayford/coordination/leadership/connectivity.py
@@ -17,7 +17,7 @@
         self._clock = clock
         self._started_at = clock()
 
-    def store_reachable(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Whether the state service has executed a membership request within the last `SERVED_TTL_S`."""
         return self._clock() - self._membership.last_renewed_at < SERVED_TTL_S
 
@@ -28,4 +28,4 @@
         answered. In an outage the state service would still refuse requests, which counts as an answer.
         """
         last_contact_at = max(self._membership.last_reply_at, self._peers.last_status_at, self._started_at)
-        return bool(self._peers.asks) and self._clock() - last_contact_at > ISOLATED_S
+        return bool(self._peers.pollers) and self._clock() - last_contact_at > ISOLATED_S
--- a/bayford/coordination/leadership/manager.py
+++ b/bayford/coordination/leadership/manager.py
@@ -99,7 +99,7 @@
         if (
             now - self._started_at >= REPLACEMENT_DELAY_S
             and now - self._replacement_attempted_at >= REPLACEMENT_DELAY_S
-            and self._connectivity.store_reachable()
+            and self._connectivity.is_store_reachable()
             and not self._peers.unreachable & set(self._membership.live_members())
             and self._membership.should_replace_older_leader()
         ):
@@ -126,8 +126,12 @@
             return
         window_s = transfer.contact_window_s(self._worker_settings.heartbeat_interval_s)
         contact = self._scheduler.worker_contact(now - window_s)
-        candidates = set(self._membership.live_members()) - self._peers.older() - {self._membership.name}
-        successor = transfer.successor(contact, candidates)
+        candidates = (
+            set(self._membership.live_members())
+            - self._peers.peers_of_older_release()
+            - {self._membership.name}
+        )
+        successor = transfer.choose_successor(contact, candidates)
         if successor is None:
             return
         self._transfer_attempted_at = now
@@ -181,23 +185,23 @@
         recovered.set()
         # Rows that arrived while the records were being read were not passed to the scheduler, which was not
         # the leader yet: pass them on now. A row that the scheduler already knows changes nothing.
-        for row in self._watch_cache.jobs_since(read_revision):
+        for row in self._watch_cache.job_rows_since(read_revision):
             self._dispatcher.reconcile_job(row)
-        for row in self._watch_cache.rows_below(records.RELAYS):
+        for row in self._watch_cache.rows_with_prefix(records.RELAYS):
             self._dispatcher.on_rows([row])
         self._signals.round.set()
 
     def _read_state(self, record: LeadershipRecord) -> RecoveredState:
         """Returns the state to recover from, read from the watch cache."""
         cache = self._watch_cache
-        summaries = cache.rows_below(records.SUMMARIES)
+        summaries = cache.rows_with_prefix(records.SUMMARIES)
         # Taken before the jobs are read, so that the jobs may be newer than `as_of` but never older.
         as_of = cache.as_of
         return RecoveredState(
             term=record.version,
             fencing_token=record.fencing_token,
             as_of=as_of,
-            summarized_images=load_summary.newest(summaries, self._wall() - SUMMARY_MAX_AGE_S),
+            summarized_images=load_summary.newest_images(summaries, self._wall() - SUMMARY_MAX_AGE_S),
             next_attempt=cache.with_task_log(lambda task_log: task_log.next_attempt),
             migration_counts=self._read_values(records.MIGRATION_COUNTS),
             zone_records=self._read_values(records.ZONES),
@@ -206,7 +210,7 @@
 
     def _read_values(self, prefix: str) -> Mapping[str, Any]:
         """Returns the values of the keys with `prefix`, by the rest of the key."""
-        return {row.key[len(prefix) :]: row.value for row in self._watch_cache.rows_below(prefix)}
+        return {row.key[len(prefix) :]: row.value for row in self._watch_cache.rows_with_prefix(prefix)}
 
     # -- the verification thread -----------------------------------------------------------------------
 
--- a/bayford/coordination/leadership/membership.py
+++ b/bayford/coordination/leadership/membership.py
@@ -51,7 +51,7 @@
         return self.leader == name and self.incarnation == incarnation
 
 
-def lacks_failover_neighbour(name: str, zones: dict[str, str]) -> bool:
+def is_next_controller_in_same_zone(name: str, zones: dict[str, str]) -> bool:
     """Whether the next controller by name is in the same zone as `name`, although there are several zones.
 
     A worker whose heartbeat is not answered tries the next controller after 4 s, and after 1 s more on each
@@ -150,7 +150,7 @@
 
     def live_members(self) -> dict[str, str]:
         """Returns the incarnation of each live controller by name, according to the watch cache."""
-        rows = self._watch_cache.rows_below(records.MEMBERS)
+        rows = self._watch_cache.rows_with_prefix(records.MEMBERS)
         return {row.key[len(records.MEMBERS) :]: row.value for row in rows}
 
     def is_live(self, name: str, incarnation: str) -> bool:
@@ -182,7 +182,7 @@
         """
         older_peers = self._older_peers()
         candidates = sorted(self.live_members(), key=lambda name: (name in older_peers, name))
-        delay_s = SAME_ZONE_DELAY_S if lacks_failover_neighbour(self.name, self._zones) else 0.0
+        delay_s = SAME_ZONE_DELAY_S if is_next_controller_in_same_zone(self.name, self._zones) else 0.0
         return candidates.index(self.name) * FAILOVER_STAGGER_S + delay_s
 
     def should_replace_older_leader(self) -> bool:
@@ -263,7 +263,7 @@
         """
         if not self._features:
             return []
-        value = features.value(self.incarnation, self._features)
+        value = features.encode(self.incarnation, self._features)
         return [Put(records.FEATURES + self.name, value, lease)]
 
     def _is_announced(self) -> bool:
@@ -273,7 +273,7 @@
         if not self._features:
             return True
         row = self._watch_cache.get(records.FEATURES + self.name)
-        return row is not None and row.value == features.value(self.incarnation, self._features)
+        return row is not None and row.value == features.encode(self.incarnation, self._features)
 
     # -- changes of the leader -------------------------------------------------------------------------
 
@@ -319,7 +319,7 @@
             "owners": dict.fromkeys(self._teams, leader),
             "members": live,
         }
-        if records.size(value) > self._limits.value_bytes:
+        if records.encoded_size(value) > self._limits.value_bytes:
             # With many teams and controllers the record may exceed the value limit. All teams have the same
             # leader, and every release reads only its name, given for one team, and its incarnation.
             value["owners"] = dict.fromkeys(self._teams[:1], leader)
--- a/bayford/coordination/leadership/verification.py
+++ b/bayford/coordination/leadership/verification.py
@@ -84,11 +84,11 @@
         row = self._watch_cache.get(records.LEADERSHIP)
         if not self._scheduler.leader or row is None or row.version != term:
             return False
-        self._scheduler.verified(as_of, term)
+        self._scheduler.record_verification(as_of, term)
         self._signals.verified.set()
         return True
 
-    def no_competing_leader(self) -> bool:
+    def has_no_competing_leader(self) -> bool:
         """Whether no other controller can have a newer view, although this leader's view may be too old.
 
         This holds if the state service is unavailable to every reachable controller and no higher fencing
@@ -101,6 +101,6 @@
             and self._membership.record.version == self._scheduler.term
             and not self._membership.is_superseded
             and not self._connectivity.is_isolated()
-            and not self._connectivity.store_reachable()
-            and not self._peers.served()
+            and not self._connectivity.is_store_reachable()
+            and not self._peers.served_peers()
         )
--- a/bayford/coordination/workers/heartbeat_service.py
+++ b/bayford/coordination/workers/heartbeat_service.py
@@ -97,17 +97,17 @@
             # The worker still reaches this controller, which can neither read nor write the store, and
             # another controller has taken over as leader or is about to. With this error the worker looks for
             # that one while its lease is still valid.
-            return Reply(503, jobs.error("cut off from the state service and the other controllers"))
+            return Reply(503, jobs.encode_error("cut off from the state service and the other controllers"))
         if not self._knows_newest_leader(heartbeat):
-            return Reply(503, jobs.error("a newer leadership record exists"))
+            return Reply(503, jobs.encode_error("a newer leadership record exists"))
         record = self._membership.record
         if self._membership.is_leader():
             return self._answer_as_leader(heartbeat, arrived_at, sent_after, may_hold)
         if not record.leader or not self._membership.is_live(record.leader, record.incarnation):
-            return Reply(503, jobs.error("no leader yet"))
+            return Reply(503, jobs.encode_error("no leader yet"))
         redirect_to = self._redirect_target(heartbeat, record)
         if redirect_to is not None:
-            return Reply(421, workers.redirect(redirect_to))
+            return Reply(421, workers.encode_redirect(redirect_to))
         return self._answer_as_relay(heartbeat)
 
     def _knows_newest_leader(self, heartbeat: workers.Heartbeat) -> bool:
@@ -124,7 +124,7 @@
 
     def _redirect_target(self, heartbeat: workers.Heartbeat, record: LeadershipRecord) -> str | None:
         """Returns the controller to redirect the worker to, None if this one answers as the relay."""
-        if self._relay.stale(heartbeat):
+        if self._relay.is_stale(heartbeat):
             return record.leader
         leader_unreachable = record.leader in self._peers.unreachable
         # A heartbeat with the current fencing token and a higher sequence number than a worker's first ones
@@ -134,11 +134,11 @@
         )
         if not self._relay.should_answer(heartbeat.machine, leader_unreachable, has_lost_leader):
             return record.leader
-        if not self._connectivity.store_reachable():
+        if not self._connectivity.is_store_reachable():
             # Without the store this controller can neither pass the heartbeat on nor read the commands, and
             # the leader would treat the machine as unresponsive. Redirect to a reachable controller that has
             # the store.
-            candidates = [name for name in self._peers.served() if name != record.leader]
+            candidates = [name for name in self._peers.served_peers() if name != record.leader]
             if candidates:
                 return candidates[0]
         return None
@@ -149,9 +149,9 @@
         scheduler = self._scheduler
         record = self._membership.record
         if not self._has_recovered(record):
-            return Reply(503, jobs.error("reading the records"))
+            return Reply(503, jobs.encode_error("reading the records"))
         if not self._verifier.await_verified_leader():
-            return Reply(503, jobs.error("leadership not verified"))
+            return Reply(503, jobs.encode_error("leadership not verified"))
         index = scheduler.on_heartbeat(heartbeat, sent_after)
         if index is None:
             return Reply(200, workers.encode_response(record.fencing_token, []))
@@ -165,7 +165,7 @@
             or scheduler.term != record.version
             or not self._verifier.is_verified_leader()
         ):
-            return Reply(503, jobs.error("no longer the leader"))
+            return Reply(503, jobs.encode_error("no longer the leader"))
         scheduler.on_answered(index, heartbeat, commands)
         return Reply(200, workers.encode_response(record.fencing_token, commands))
 
@@ -201,7 +201,7 @@
                 self._pause(event, hold_s - waited_s)
 
     def _answer_as_relay(self, heartbeat: workers.Heartbeat) -> Reply:
-        self._relay.note(heartbeat)
+        self._relay.store_heartbeat(heartbeat)
         is_refreshed = self._watch_cache.refresh(RELAY_READ_TIMEOUT_S)
         # The token is read before the commands, so that they are never sent with the token of a later leader.
         fencing_token = self._membership.record.fencing_token
@@ -211,5 +211,5 @@
         # outdated, a worker that has seen a higher one drops this response. A stale view is not sufficient to
         # start tasks. It is sufficient to stop cancelled ones, because a cancellation is final.
         if self._clock() - self._watch_cache.as_of > self._scheduler.staleness_limit():
-            return Reply(503, jobs.error("no view of the state"))
+            return Reply(503, jobs.encode_error("no view of the state"))
         return Reply(200, workers.encode_response(fencing_token, self._relay.stop_commands(heartbeat)))
--- a/bayford/coordination/workers/relay.py
+++ b/bayford/coordination/workers/relay.py
@@ -66,7 +66,7 @@
         self._key_count = 0  # number of keys last published; used only by the publishing thread
         self._known_cancelled: set[str] = set()
 
-    def stale(self, heartbeat: workers.Heartbeat) -> bool:
+    def is_stale(self, heartbeat: workers.Heartbeat) -> bool:
         """Returns whether this or a newer heartbeat of the machine was seen here before; if not, records it.
 
         A late copy must not move a machine between the leader and the relay, and is not passed on.
@@ -107,7 +107,7 @@
                 }
             return False
 
-    def note(self, heartbeat: workers.Heartbeat) -> None:
+    def store_heartbeat(self, heartbeat: workers.Heartbeat) -> None:
         """Store the heartbeat of a relayed machine for the leader, unless a newer one is stored."""
         with self._lock:
             stored = self._heartbeats.get(heartbeat.machine)
@@ -132,7 +132,7 @@
         for placement in self._watch_cache.placements_on(heartbeat.machine):
             if placement.epoch != heartbeat.epoch:
                 continue
-            key = (workers.task_name(placement.job, placement.task), placement.attempt)
+            key = (workers.format_task_id(placement.job, placement.task), placement.attempt)
             placed.add(key)
             if not placement.cancelled and key not in reported:
                 commands.append(workers.Start(*key))
@@ -161,7 +161,7 @@
             known_cancelled = set(self._known_cancelled)
         commands: list[workers.Command] = []
         for task in heartbeat.tasks:
-            job_id = (workers.split_task(task.task_id) or ("", 0))[0]
+            job_id = (workers.parse_task_id(task.task_id) or ("", 0))[0]
             cancelled = job_id in known_cancelled or self._watch_cache.is_cancelled(job_id)
             if task.phase != workers.ENDED and cancelled:
                 commands.append(workers.Stop(task.task_id, task.attempt, 0.0))
@@ -206,7 +206,7 @@
         return f"{records.RELAYS}{self._name}/{number}"
 
 
-def heartbeats_in(row: Row, wall: float) -> tuple[str, list[workers.Heartbeat]]:
+def decode_heartbeats(row: Row, wall: float) -> tuple[str, list[workers.Heartbeat]]:
     """Returns the relay's name and the heartbeats in one of its rows, none if the row is old or unreadable.
 
     The rows of a relay that has stopped stay in the store. A new leader that treated them as current would
--- a/bayford/recovery/zone_record.py
+++ b/bayford/recovery/zone_record.py
@@ -102,7 +102,7 @@
     while True:
         stored = [loss.summarize() if n < summarized else loss for n, loss in enumerate(losses)]
         value = msgspec.to_builtins(msgspec.structs.replace(record, losses=stored))
-        if records.size(value) <= max_bytes:
+        if records.encoded_size(value) <= max_bytes:
             return value
         if summarized < len(losses):
             summarized += 1
@@ -120,7 +120,7 @@
     try:
         record = msgspec.convert(value, ZoneRecord)
     except msgspec.ValidationError as error:
-        raise UnreadableRecordError(f"zone record is malformed: {error}") from error
+        raise UnreadableRecordError(f"not a zone's record: {error}") from error
     if record.form != VERSION:
-        raise UnreadableRecordError(f"zone record has unsupported version {record.form}")
+        raise UnreadableRecordError(f"a zone's record of version {record.form}")
     return record
--- a/bayford/spread/rebalance.py
+++ b/bayford/spread/rebalance.py
@@ -13,7 +13,7 @@
 
 from bayford.scheduling import tempered
 from bayford.scheduling.model import EPS
-from bayford.scheduling.tempered import Allowed, Counts, Host
+from bayford.scheduling.tempered import Allowed, Host, SearchLimits
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 
 
 def rebalance(
-    hosts: Sequence[Host], threshold: float, counts: Counts, allowed: Allowed, rng: random.Random
+    hosts: Sequence[Host], threshold: float, limits: SearchLimits, allowed: Allowed, rng: random.Random
 ) -> Rebalancing | None:
     """Returns the moves of the trial with the lowest imbalance, or None if no trial improves the balance.
 
@@ -70,14 +70,14 @@
     load above the threshold is therefore better. A plan moves each task at most once, off the machine on
     which it runs: a task that was moved in a trial is not moved again.
     """
-    if counts.moves <= 0 or not sources(hosts, threshold):
+    if limits.moves <= 0 or not sources(hosts, threshold):
         return None
     before = _Balance.of(hosts, threshold)
     best_balance = before
     best: Rebalancing | None = None
-    for _ in range(counts.trials):
+    for _ in range(limits.trials):
         trial = tempered.copy_hosts(hosts)
-        relocations = _run_trial(trial, threshold, counts, allowed, rng)
+        relocations = _run_trial(trial, threshold, limits, allowed, rng)
         after = _Balance.of(trial, threshold)
         if relocations and after.is_better_than(best_balance):
             best_balance = after
@@ -90,7 +90,7 @@
 
 
 def _run_trial(
-    hosts: list[Host], threshold: float, counts: Counts, allowed: Allowed, rng: random.Random
+    hosts: list[Host], threshold: float, limits: SearchLimits, allowed: Allowed, rng: random.Random
 ) -> list[Relocation]:
     """Run one trial, which iterates over the overloaded machines. Modifies `hosts`."""
     relocations: list[Relocation] = []
@@ -99,7 +99,7 @@
     def may_move(key: tuple[str, int], target: int) -> bool:
         return key not in moved and allowed(key, target)
 
-    for _ in range(counts.iterations):
+    for _ in range(limits.iterations):
         overloaded = sources(hosts, threshold)
         for source in overloaded:
             average = sum(host.load for host in hosts) / len(hosts)
@@ -109,12 +109,12 @@
                 [host for host in hosts if host is not source],
                 source.load - limit,
                 _has_load_within(limit),
-                counts.moves - len(relocations),
+                limits.moves - len(relocations),
                 may_move,
                 rng,
             )
             moved.update(move.key for move in moves)
             relocations += [Relocation(move.key, source.index, move.target) for move in moves]
-        if not overloaded or len(relocations) >= counts.moves:
+        if not overloaded or len(relocations) >= limits.moves:
             break
     return relocations
--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -287,38 +287,38 @@
     def _row(self, key: str) -> Row | None:
         return self._rows.get(_prefix(key), {}).get(key)
 
-    def read_together(self, key: str, prefixes: Iterable[str]) -> tuple[Row | None, list[list[Row]]]:
+    def read_atomically(self, key: str, prefixes: Iterable[str]) -> tuple[Row | None, list[list[Row]]]:
         """Return one row and all rows under each prefix, read atomically."""
         with self._lock:
             return self._row(key), [list(self._rows.get(prefix, {}).values()) for prefix in prefixes]
 
-    def rows_below(self, prefix: str) -> list[Row]:
+    def rows_with_prefix(self, prefix: str) -> list[Row]:
         """Return the rows under a prefix, such as `records.MEMBERS`, in key order."""
         with self._lock:
             return sorted(self._rows.get(prefix, {}).values(), key=lambda row: row.key)
 
     def has_job(self, job_id: str) -> bool:
         """Return whether the cache has a record of the job."""
-        return self.get(records.key(job_id)) is not None
+        return self.get(records.job_key(job_id)) is not None
 
-    def job_state(self, job_id: str) -> records.State | None:
+    def job_state(self, job_id: str) -> records.JobState | None:
         """Return a job's record and the number of its open and done tasks; None if there is no record.
 
         Raises UnavailableError if the record or, where it is needed, the task log is unreadable or reloading.
         """
         with self._lock:
-            row = self._row(records.key(job_id))
+            row = self._row(records.job_key(job_id))
             if row is None:
                 self._require_task_log()
                 return None
             record = self._decoded_record(row)
-            if record.over:
-                return records.State(record, row.version, 0, record.done)
+            if record.is_final:
+                return records.JobState(record, row.version, 0, record.done)
             self._require_task_log()
             progress = self.task_log.jobs.get(job_id)
             if progress is None:
-                return records.State(record, row.version)
-            return records.State(record, row.version, len(progress.open), len(progress.done))
+                return records.JobState(record, row.version)
+            return records.JobState(record, row.version, len(progress.open), len(progress.done))
 
     def _decoded_record(self, row: Row) -> records.Record:
         cached = self._records.get(row.key)
@@ -338,7 +338,7 @@
         True is therefore never outdated; False may be.
         """
         with self._lock:
-            row = self._row(records.key(job_id))
+            row = self._row(records.job_key(job_id))
             try:
                 return row is not None and self._decoded_record(row).cancelled > 0
             except UnavailableError:
@@ -352,8 +352,8 @@
         with self._lock:
             self._require_task_log()
             placements = []
-            for (job, task), (attempt, epoch) in self.task_log.placed_on.get(machine, {}).items():
-                row = self._row(records.key(job))
+            for (job, task), (attempt, epoch) in self.task_log.placements_by_machine.get(machine, {}).items():
+                row = self._row(records.job_key(job))
                 if row is not None:
                     cancelled = self._decoded_record(row).cancelled > 0
                     placements.append(RecordedPlacement(job, task, attempt, epoch, cancelled))
@@ -370,11 +370,11 @@
             for row in self._rows.get(JOBS, {}).values():
                 record = self._decoded_record(row)
                 progress = self.task_log.jobs.get(record.spec.id)
-                if not record.over or (progress is not None and progress.open):
+                if not record.is_final or (progress is not None and progress.open):
                     jobs.append(StoredJob(record, row.version, progress))
             return jobs
 
-    def jobs_since(self, revision: int) -> list[Row]:
+    def job_rows_since(self, revision: int) -> list[Row]:
         """Return the rows of jobs' records that were written after a revision."""
         with self._lock:
             return [row for row in self._rows.get(JOBS, {}).values() if row.version > revision]
--- a/bayford/transport/http_client.py
+++ b/bayford/transport/http_client.py
@@ -19,12 +19,13 @@
 class HttpClient:
     """Pools keep-alive connections to one address. Called by any thread; concurrent calls share none."""
 
-    def __init__(self, host: str, port: int, max_idle: int = 8, connect_s: float = 1.0) -> None:
-        """`max_idle`: maximum number of idle connections kept for reuse. `connect_s`: connect timeout."""
+    def __init__(self, host: str, port: int, max_idle: int = 8, connect_timeout_s: float = 1.0) -> None:
+        """`max_idle`: maximum number of idle connections kept for reuse. `connect_timeout_s`: connect
+        timeout."""
         self._host = host
         self._port = port
         self._max_idle = max_idle
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
         self._lock = threading.Lock()  # guards `_idle`
         self._idle: list[_IdleConnection] = []  # the most recently used one is last
 
@@ -52,7 +53,7 @@
         return response.status, data
 
     def _connect(self) -> http.client.HTTPConnection:
-        connection = http.client.HTTPConnection(self._host, self._port, timeout=self._connect_s)
+        connection = http.client.HTTPConnection(self._host, self._port, timeout=self._connect_timeout_s)
         try:
             connection.connect()
             connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/tests/test_cancellation_under_faults.py
+++ b/tests/test_cancellation_under_faults.py
@@ -126,15 +126,15 @@
     assert cluster.cancel(other, "req-000001") == "aborted"
     cluster.nodes[other].notices.send()
     assert leader.scheduler.state.jobs["req-000001"].cancelled
-    assert not leader.verifier.no_competing_leader()
+    assert not leader.verifier.has_no_competing_leader()
     cluster.store.down = True
     run_for(cluster, 8.0, cloud=False)  # by then no other controller reports that the store serves it
-    assert leader.verifier.no_competing_leader()
+    assert leader.verifier.has_no_competing_leader()
     leader.peers.served_at[other] = cluster.clock.now
-    assert not leader.verifier.no_competing_leader(), "the store serves another controller"
+    assert not leader.verifier.has_no_competing_leader(), "the store serves another controller"
     leader.peers.served_at.clear()
     leader.membership.observe_token(leader.membership.record.fencing_token + 1)
-    assert not leader.verifier.no_competing_leader(), "a higher fencing token was seen"
+    assert not leader.verifier.has_no_competing_leader(), "a higher fencing token was seen"
 
 
 def test_a_relay_with_a_stale_watch_cache_stops_cancelled_tasks() -> None:
@@ -338,7 +338,7 @@
     if moment in ("writing", "written"):
         batch = leader.scheduler.take_batch(12)
         assert batch is not None
-        assert batch.over == ["req-000001"]
+        assert batch.closed_jobs == ["req-000001"]
     if moment == "written":
         assert batch is not None
         leader.commit_loop.write(batch)
--- a/tests/test_failover_run_times.py
+++ b/tests/test_failover_run_times.py
@@ -34,7 +34,7 @@
     run_for(cluster, 2.0, cloud=False)
     job = scheduler.state.jobs["req-000001"]
     assert len(job.done) == 4
-    assert scheduler.state.expected(job) == GUESS_S
+    assert scheduler.state.expected_run_s(job) == GUESS_S
 
 
 def test_tasks_placed_by_the_new_leader_change_the_expected_run_time() -> None:
@@ -45,7 +45,7 @@
     for task in range(2):
         cluster.finish(f"req-000002/{task}")
     run_for(cluster, 2.0, cloud=False)
-    assert scheduler.state.expected(scheduler.state.jobs["req-000001"]) < GUESS_S
+    assert scheduler.state.expected_run_s(scheduler.state.jobs["req-000001"]) < GUESS_S
 
 
 def test_stopping_a_recovered_task_loses_more_than_the_time_since_the_failover() -> None:
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -154,7 +154,7 @@
     for worker in cluster.workers.values():
         cluster.heartbeat(worker, leader)
     batch = node.scheduler.take_batch(12)
-    assert batch is not None and batch.over == ["req-000001"]
+    assert batch is not None and batch.closed_jobs == ["req-000001"]
     assert cluster.cancel(other, "req-000001") == "aborted"
     node.commit_loop.write(batch)
     for _ in range(3):
@@ -170,10 +170,10 @@
     node.commit_loop.commit_once()
     cluster.cancel("n0", "req-000001")
     node.watch_cache.pull(0.0)
-    node.scheduler.on_heartbeat(worker.heartbeat(), after=cluster.clock.now - 5.0)
+    node.scheduler.on_heartbeat(worker.heartbeat(), sent_after=cluster.clock.now - 5.0)
     assert node.scheduler.state.quotas[0].used_cpus == 1.0
     cluster.pass_time(1.0)
-    node.scheduler.on_heartbeat(worker.heartbeat(), after=cluster.clock.now)
+    node.scheduler.on_heartbeat(worker.heartbeat(), sent_after=cluster.clock.now)
     assert node.scheduler.state.quotas[0].used_cpus == 0.0
 
 
--- a/tests/test_zone_recovery.py
+++ b/tests/test_zone_recovery.py
@@ -67,7 +67,7 @@
     ]
     for machine in south:
         machine.images[77] = True
-        scheduler.state.capacity_index.holds(machine, 77)
+        scheduler.state.capacity_index.add_image(machine, 77)
     reconnect_zones(cluster)
     while zone_state(cluster) == "lost":
         run_for(cluster, 0.5)
@@ -95,12 +95,16 @@
     ]
     south, north = (scaling.MachinePool(0, zone_index(scheduler, name), True) for name in ("south", "north"))
     plans = [scaling.LaunchPlan(south, 20, "backlog"), scaling.LaunchPlan(north, 20, "backlog")]
-    assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [
+    assert [
+        plan.count for plan in scheduler.autoscaler._limit_launches_into_returning_zones(plans, present)
+    ] == [
         RECOVERY_POLICY.recovery_least,
         20,
     ]
     scheduler.state.launching[south] = 2
-    assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [1, 20]
+    assert [
+        plan.count for plan in scheduler.autoscaler._limit_launches_into_returning_zones(plans, present)
+    ] == [1, 20]
     scheduler.state.verified_machines = frozenset(
         {
             next(
@@ -114,14 +118,16 @@
         scaling.PooledMachine(south, scheduler.state.machines[index])
         for index in scheduler.state.verified_machines
     ]
-    assert [plan.count for plan in scheduler.autoscaler._paced(plans, present)] == [20, 20]
+    assert [
+        plan.count for plan in scheduler.autoscaler._limit_launches_into_returning_zones(plans, present)
+    ] == [20, 20]
 
 
 def test_the_autoscaler_launches_only_a_few_machines_into_a_returning_zone(cluster: Cluster) -> None:
     scheduler = leader_of(cluster).scheduler
     south = zone_index(scheduler, "south")
     scheduler.state.returning_zones = frozenset({south})
-    scheduler.deleted(
+    scheduler.on_deletion_confirmed(
         [machine.name for machine in scheduler.state.machines.values() if machine.zone == south]
     )
     cluster.submit("n0", cluster.job(1, crew="open", parts=80, guess_s=900.0, yard="south"))
@@ -265,7 +271,7 @@
             monitor = cluster.nodes[name].scheduler.zone_monitor
             lost = zone_index(cluster.nodes[name].scheduler, zone)
             assert monitor.statuses[lost].state is not ZoneState.UP
-            assert sum(monitor.losses[lost][0].record().totals().values()) == 16
+            assert sum(monitor.losses[lost][0].to_stored().totals().values()) == 16
             break
     else:
         pytest.fail("no failover")
--- a/tools/leader_cost.py
+++ b/tools/leader_cost.py
@@ -34,7 +34,7 @@
 from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.coordination.leader.scheduler import Scheduler
 from bayford.protocol import workers
-from bayford.protocol.cloud_api import Listed
+from bayford.protocol.cloud_api import ListedMachine
 from bayford.scheduling.model import PRIORITIES, JobSpec, MachineType
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
@@ -97,8 +97,8 @@
         """Implement `TaskLogSource`."""
         return call(self.task_log)
 
-    def _listed(self, n: int, name: str) -> Listed:
-        return Listed(name, "10.0.0.1:9", TYPE.name, TYPE.zones[n % 2], True, "running", 30.0)
+    def _listed(self, n: int, name: str) -> ListedMachine:
+        return ListedMachine(name, "10.0.0.1:9", TYPE.name, TYPE.zones[n % 2], True, "running", 30.0)
 
     def heartbeat(self, name: str) -> None:
         """Process a heartbeat in which all durable placements of a machine are running, and its response."""
@@ -159,7 +159,7 @@
             for put in batch.puts:
                 if put.key.startswith(records.LOG):
                     self.task_log.apply_row(put.key, self.version, put.value)
-            self.scheduler.committed(batch)
+            self.scheduler.on_committed(batch)
             count += 1
         return count
 
