--- a/standins/admission_history.py
+++ b/standins/admission_history.py
@@ -40,7 +40,11 @@
     def level_in_force(self) -> Level | None:
         members = [row for key, row in self.rows.items() if key.startswith(records.MEMBERS)]
         stored_features = [row for key, row in self.rows.items() if key.startswith(records.FEATURES)]
-        return None if features.lacking(members, stored_features) else _decoded_level(self.level)
+        return (
+            None
+            if features.controllers_without_admission(members, stored_features)
+            else _decoded_level(self.level)
+        )
 
 
 def _decoded_level(value: Any) -> Level | None:
@@ -50,7 +54,7 @@
         return None
 
 
-def against_level(changes: Iterable[Row], flows: Mapping[str, Flow]) -> list[str]:
+def jobs_accepted_against_level(changes: Iterable[Row], flows: Mapping[str, Flow]) -> list[str]:
     """Return the jobs whose record was first written under an admission level that refuses them.
 
     `changes` are those of the state service, in order; all changes of a transaction have one revision.
@@ -83,7 +87,7 @@
     return list(first_stored.values())
 
 
-def refused_wrongly(
+def unjustified_refusals(
     changes: Iterable[Row], answers: Iterable[SubmissionAnswer], flows: Mapping[str, Flow]
 ) -> list[SubmissionAnswer]:
     """Return the refusals that are not justified.
@@ -114,7 +118,7 @@
     return violations
 
 
-def chosen_differently(answers: Iterable[SubmissionAnswer]) -> list[str]:
+def jobs_decided_inconsistently(answers: Iterable[SubmissionAnswer]) -> list[str]:
     """Return the jobs that were both refused and accepted under the same level.
 
     `answers` includes the acceptances of `accepted_under`, which name their level.
@@ -126,7 +130,7 @@
     return sorted({job for (job, _), outcomes in choices.items() if len(outcomes) > 1})
 
 
-def began_too_late(begun: Mapping[str, int], pairs: Iterable[tuple[str, str]]) -> list[str]:
+def urgent_jobs_started_late(begun: Mapping[str, int], pairs: Iterable[tuple[str, str]]) -> list[str]:
     """Return the urgent jobs that started after the other job of their pair, or never.
 
     `begun` maps each job to the number of its first attempt; numbers are assigned in the order of placement.
--- a/standins/controllers.py
+++ b/standins/controllers.py
@@ -35,7 +35,7 @@
         self._script = folder / "policy.star"
         self._script.write_text(script)
         ports = free_ports(2 * len(zones))
-        self.fronts = {name: f"127.0.0.1:{ports[2 * n]}" for n, name in enumerate(zones)}
+        self.front_addresses = {name: f"127.0.0.1:{ports[2 * n]}" for n, name in enumerate(zones)}
         self._mesh_addresses = {name: f"127.0.0.1:{ports[2 * n + 1]}" for n, name in enumerate(zones)}
         self._running: dict[str, subprocess.Popen[bytes]] = {}
 
@@ -48,7 +48,7 @@
         )
         settings = self._folder / f"{name}.toml"
         settings.write_text(
-            f'member = "{name}"\nsite = "{self._zones[name]}"\nfront = "{self.fronts[name]}"\n'
+            f'member = "{name}"\nsite = "{self._zones[name]}"\nfront = "{self.front_addresses[name]}"\n'
             f'mesh_addr = "{self._mesh_addresses[name]}"\n{seeds}'
             f'[outside]\ncloud = "{cloud}"\nstate = "{state}"\n{self._facts}'
         )
@@ -78,14 +78,16 @@
         """Return the text that a controller has logged."""
         return (self._folder / f"{name}.log").read_text()
 
-    def ask(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+    def send_request(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         """Send a user's request to one controller; return status and body, (0, None) without a response."""
-        status, response_body, _ = self.request(name, method, path, body)
+        status, response_body, _ = self.send_request_with_retry_after(name, method, path, body)
         return status, response_body
 
-    def request(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any, float]:
-        """Like `ask`, but also return the seconds of the `Retry-After` header, 0 without it."""
-        connection = http.client.HTTPConnection(self.fronts[name], timeout=5.0)
+    def send_request_with_retry_after(
+        self, name: str, method: str, path: str, body: Any = None
+    ) -> tuple[int, Any, float]:
+        """Like `send_request`, but also return the seconds of the `Retry-After` header, 0 without it."""
+        connection = http.client.HTTPConnection(self.front_addresses[name], timeout=5.0)
         try:
             connection.request(method, path, None if body is None else json.dumps(body))
             response = connection.getresponse()
@@ -104,7 +106,7 @@
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             for name in list(self._running):
-                status, _ = self.ask(name, "POST", "/api/jobs", job)
+                status, _ = self.send_request(name, "POST", "/api/jobs", job)
                 if status in (200, 201):
                     return name
             time.sleep(0.2)
--- a/standins/history.py
+++ b/standins/history.py
@@ -4,16 +4,16 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 
-from standins.workers import Event
+from standins.workers import AttemptEvent
 
 
-def ran_twice(history: Iterable[Event]) -> list[str]:
+def tasks_run_concurrently(history: Iterable[AttemptEvent]) -> list[str]:
     """Return the tasks of which an attempt started while another one was running."""
     running: dict[str, tuple[int, str]] = {}
     violations = []
     for event in history:
         attempt = (event.number, event.machine)
-        if event.what == "running":
+        if event.kind == "running":
             if event.task_id in running:
                 violations.append(event.task_id)
             running[event.task_id] = attempt
@@ -22,13 +22,13 @@
     return violations
 
 
-def not_done_once(history: Iterable[Event], task_ids: Iterable[str]) -> list[str]:
+def tasks_not_completed_once(history: Iterable[AttemptEvent], task_ids: Iterable[str]) -> list[str]:
     """Return the tasks of `task_ids` that did not complete exactly once."""
-    done = Counter(event.task_id for event in history if event.what == "done")
+    done = Counter(event.task_id for event in history if event.kind == "done")
     return [task_id for task_id in task_ids if done[task_id] != 1]
 
 
-def done_again(history: Iterable[Event]) -> list[str]:
+def tasks_completed_again(history: Iterable[AttemptEvent]) -> list[str]:
     """Return the tasks that completed again while a worker still kept an earlier completed attempt.
 
     A worker whose lease expires discards its ended attempts; the task may then run again.
@@ -36,16 +36,16 @@
     remembered: set[str] = set()
     violations = []
     for event in history:
-        if event.what == "done":
+        if event.kind == "done":
             if event.task_id in remembered:
                 violations.append(event.task_id)
             remembered.add(event.task_id)
-        elif event.what == "forgotten":
+        elif event.kind == "forgotten":
             remembered.discard(event.task_id)
     return violations
 
 
-def without_one_answer(answers: Mapping[str, Mapping[str, str | None]], final: str) -> list[str]:
+def jobs_with_inconsistent_phase(answers: Mapping[str, Mapping[str, str | None]], final: str) -> list[str]:
     """Return the jobs for which some controller reports a phase other than `final`.
 
     `answers` maps each job to the phase that each controller reports; a job without any is returned, too.
@@ -53,7 +53,7 @@
     return [job for job, phases in answers.items() if not phases or set(phases.values()) != {final}]
 
 
-def out_of_order(history: Iterable[Event], machines: Iterable[str], jobs: Sequence[str]) -> list[str]:
+def out_of_order(history: Iterable[AttemptEvent], machines: Iterable[str], jobs: Sequence[str]) -> list[str]:
     """Return the jobs that started a task on `machines` before their predecessor in `jobs` had started all.
 
     A job is also returned if it or its predecessor started no task there. The order of starts is that of the
@@ -63,7 +63,7 @@
     numbers: dict[str, list[int]] = {job: [] for job in jobs}
     for event in history:
         job = event.task_id.partition("/")[0]
-        if event.machine in on_machines and event.what == "running" and job in numbers:
+        if event.machine in on_machines and event.kind == "running" and job in numbers:
             numbers[job].append(event.number)
     violations = []
     for before, after in itertools.pairwise(jobs):
--- a/standins/users.py
+++ b/standins/users.py
@@ -92,11 +92,11 @@
                 if self._closed:
                     return
                 _, _, submission = heapq.heappop(self._scheduled)
-                controller = self._rng.choice(list(self._site.controllers.fronts))
+                controller = self._rng.choice(list(self._site.controllers.front_addresses))
             self._submit_once(submission, controller)
 
     def _submit_once(self, submission: Submission, controller: str) -> None:
-        status, body, retry_after_s = self._site.controllers.request(
+        status, body, retry_after_s = self._site.controllers.send_request_with_retry_after(
             controller, "POST", "/api/jobs", submission.job
         )
         now = time.monotonic()
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True)
-class Event:
+class AttemptEvent:
     """A state change of a task attempt. Events are ordered by their position in the history."""
 
     task_id: str
@@ -76,7 +76,7 @@
     machine: str
     # running, done, error or halted; if the worker dropped the attempt: lost (it had not ended) or forgotten
     # (it had ended and was not yet reaped)
-    what: str
+    kind: str
     at: float = field(default=0.0, compare=False)  # monotonic clock, seconds
 
 
@@ -91,7 +91,7 @@
         self.jobs: dict[str, dict[str, Any]] = {}
         self.run_s: dict[str, float] = {}  # run time of each task, by job ID
         self.workers: dict[str, Worker] = {}
-        self.history: list[Event] = []
+        self.history: list[AttemptEvent] = []
         self.fetches: list[tuple[str, str]] = []  # (machine name, image)
         self._launch_count = 0
 
@@ -114,15 +114,15 @@
         self.jobs[job["id"]] = job
         self.run_s[job["id"]] = run_s
 
-    def cut_zone(self, zone: str, away: bool) -> None:
-        """Partition the machines of a zone from all controllers if `away`, else reconnect them.
+    def set_zone_partitioned(self, zone: str, partitioned: bool) -> None:
+        """Partition the machines of a zone from all controllers if `partitioned`, else reconnect them.
 
         Partitioned machines keep running.
         """
         for worker in list(self.workers.values()):
             if worker.zone == zone:
-                worker.controls.is_partitioned = away
-                worker.refuse_commands(away)
+                worker.controls.is_partitioned = partitioned
+                worker.refuse_commands(partitioned)
 
     def close(self) -> None:
         """Delete all machines."""
@@ -235,13 +235,17 @@
         self._has_unreported_changes = True
         event_kind = phase if phase == "running" else str(attempt.cause)
         if event_kind in ("running", "done", "halted", "error"):
-            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, event_kind, now))
+            self.fleet.history.append(
+                AttemptEvent(attempt.task_id, attempt.number, self.name, event_kind, now)
+            )
 
     def _drop_all_tasks(self) -> None:
         now = time.monotonic()
         for attempt in self.tasks.values():
             event_kind = "forgotten" if attempt.phase == "ended" else "lost"
-            self.fleet.history.append(Event(attempt.task_id, attempt.number, self.name, event_kind, now))
+            self.fleet.history.append(
+                AttemptEvent(attempt.task_id, attempt.number, self.name, event_kind, now)
+            )
         self.tasks.clear()
 
     def _execute(self, command: dict[str, Any]) -> None:
--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -255,7 +255,7 @@
         if not node.scheduler.leader or name in self.paused:
             return
         self.try_step(node.cloud_operations.list_step)
-        step = node.scaling_loop.scaling_once()
+        step = node.scaling_loop.decide_scaling()
         for launch in step.launches:
             node.cloud_operations.launch(launch)
         if step.deletions:
@@ -525,7 +525,7 @@
             spec = self.specs[job_id]
             tasks = {f"{job_id}/{task}" for task in range(spec.tasks)}
             # A cancellation may have been stored although its user got no response.
-            cancelled = records.decode(self.store.rows[records.key(job_id)][0]).cancelled
+            cancelled = records.decode(self.store.rows[records.job_key(job_id)][0]).cancelled
             if cancelled or not tasks - placed - self.done_tasks:
                 continue
             fits = any(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -35,7 +35,7 @@
 from bayford.config import split_address
 from bayford.coordination.api.acceptance_rate import AcceptanceRateLimiter
 from bayford.coordination.leader.admission_control import decode_sample, encode_sample
-from bayford.protocol.jobs import priority_of
+from bayford.protocol.jobs import parse_priority
 from bayford.protocol.key_value_api import KeyValueApi
 from bayford.storage import records
 from bayford.storage.key_value_store import Put, Row
@@ -263,7 +263,7 @@
     simulation.run(20, {SWEEP: 50.0})
     before = simulation.level
     simulation.control = LevelControl(TIMES)
-    simulation.control.begin(simulation.now)
+    simulation.control.begin_term(simulation.now)
     simulation.run(9, {})
     assert simulation.level.number > before.number
     assert simulation.level.windows[0].width == before.windows[0].width
@@ -274,7 +274,7 @@
     windows = tuple(Window(1, "sweep", f"team-{n:03d}", 0, 100 + n) for n in range(500))
     level = msgspec.structs.replace(HALF_LEVEL, windows=windows)
     value = encode(level, 4096)
-    assert records.size(value) <= 4096
+    assert records.encoded_size(value) <= 4096
     kept = decode(value).windows
     assert len(kept) > 50
     assert [window.width for window in kept] == [100 + n for n in range(len(kept))]
@@ -291,18 +291,18 @@
 def test_a_level_is_in_force_only_if_every_live_controller_has_the_feature() -> None:
     members = [Row(records.MEMBERS + name, f"i-{name}", 1) for name in ("n0", "n1")]
     stored_features = {
-        name: Row(records.FEATURES + name, features.value(f"i-{name}", ["admission"]), 1)
+        name: Row(records.FEATURES + name, features.encode(f"i-{name}", ["admission"]), 1)
         for name in ("n0", "n1")
     }
-    assert features.lacking(members, stored_features.values()) == []
-    assert features.lacking(members, [stored_features["n0"]]) == ["n1"]
-    outdated = Row(records.FEATURES + "n1", features.value("i-before", ["admission"]), 1)
-    assert features.lacking(members, [stored_features["n0"], outdated]) == ["n1"], (
+    assert features.controllers_without_admission(members, stored_features.values()) == []
+    assert features.controllers_without_admission(members, [stored_features["n0"]]) == ["n1"]
+    outdated = Row(records.FEATURES + "n1", features.encode("i-before", ["admission"]), 1)
+    assert features.controllers_without_admission(members, [stored_features["n0"], outdated]) == ["n1"], (
         "the features of an ended process do not count"
     )
-    assert features.lacking(members, [stored_features["n0"], Row(records.FEATURES + "n1", ["odd"], 1)]) == [
-        "n1"
-    ]
+    assert features.controllers_without_admission(
+        members, [stored_features["n0"], Row(records.FEATURES + "n1", ["odd"], 1)]
+    ) == ["n1"]
 
 
 def test_a_job_submitted_repeatedly_to_any_controllers_is_counted_once() -> None:
@@ -312,41 +312,41 @@
     for second in range(100):
         now = float(second)
         for n in range(40):  # new jobs; the second loop repeats jobs of the last 30 s at any controller
-            nodes[rng.choice(list(nodes))].note(SWEEP, f"req-{second}-{n}", now)
+            nodes[rng.choice(list(nodes))].record_submission(SWEEP, f"req-{second}-{n}", now)
         for _ in range(200):
             again = f"req-{max(0, second - rng.randrange(30))}-{rng.randrange(40)}"
-            nodes[rng.choice(list(nodes))].note(SWEEP, again, now)
+            nodes[rng.choice(list(nodes))].record_submission(SWEEP, again, now)
         for name, node in nodes.items():
-            sample = node.recent(now)
+            sample = node.recent_sample(now)
             assert len(sample.jobs) <= MAX_SAMPLED
             demand.merge(name, decode_sample(encode_sample(sample)), now)
     assert 30 < demand.rates(99.0)[SWEEP] < 50
     assert demand.rates(150.0) == {}
     other = DistinctDemand(10.0)
-    other.merge("n0", nodes["n0"].recent(99.0), 99.0)
+    other.merge("n0", nodes["n0"].recent_sample(99.0), 99.0)
     assert other.rates(99.0) == {}, "a new leader must not count old jobs as new"
 
 
 def test_estimates_of_rates_and_of_the_capacity_for_acceptances() -> None:
     rates: Rates[str] = Rates(10.0)
     for second in range(20):
-        rates.note("a", float(second), 3)
+        rates.add("a", float(second), 3)
     assert rates.rates(19.0) == {"a": 3.0}
     assert rates.rates(40.0) == {}
     capacity = AcceptanceCapacity(4.0, 12.0)
     for _ in range(50):
         capacity.update(True, refused=2, lag_s=0.0)
-    assert capacity.per_s == pytest.approx(1.0)
+    assert capacity.acceptances_per_s == pytest.approx(1.0)
     for _ in range(100):
         capacity.update(True, 0, 0.0)
-    assert capacity.per_s == pytest.approx(7.2)
+    assert capacity.acceptances_per_s == pytest.approx(7.2)
     assert capacity.task_log_rps() == pytest.approx(3.84)
     capacity.update(True, 0, lag_s=99.0)
-    assert capacity.per_s < 7.2 and capacity.task_log_rps() > 3.84, (
+    assert capacity.acceptances_per_s < 7.2 and capacity.task_log_rps() > 3.84, (
         "the task log lags far behind, so it gets a larger share of the writes"
     )
     capacity.update(False, 5, 99.0)
-    assert capacity.per_s == pytest.approx(7.2), (
+    assert capacity.acceptances_per_s == pytest.approx(7.2), (
         "while the level refuses no jobs, refused writes do not lower the estimate"
     )
 
@@ -356,14 +356,14 @@
     limiter = AcceptanceRateLimiter(10.0, lambda: now[0])
     for _ in range(8):
         now[0] += 1.0
-        limiter.refused()
+        limiter.on_refused()
     now[0] += 10.0
     assert [limiter.take(False, None) for _ in range(3)] == [True, False, False], (
         "a low rate, half of it reserved for urgent jobs"
     )
     assert [limiter.take(True, None) for _ in range(2)] == [True, False]
     for _ in range(50):
-        limiter.written()
+        limiter.on_written()
     now[0] += 1.0
     assert sum(limiter.take(True, None) for _ in range(20)) == 10
     now[0] += 1.0
@@ -377,7 +377,7 @@
     with contextlib.ExitStack() as entered:
         assert [entered.enter_context(limit.enter(0.75)) for _ in range(7)] == [True] * 6 + [False]
         assert [entered.enter_context(limit.enter()) for _ in range(3)] == [True, True, False]
-    assert [priority_of(body) for body in (b'{"rank":"urgent"}', b'{"rank":"odd"}', b"[", b"{}")] == [
+    assert [parse_priority(body) for body in (b'{"rank":"urgent"}', b'{"rank":"odd"}', b"[", b"{}")] == [
         2,
         0,
         0,
--- a/tests/test_admission_cluster.py
+++ b/tests/test_admission_cluster.py
@@ -26,13 +26,13 @@
 from standins.admission_history import (
     SubmissionAnswer,
     accepted_under,
-    against_level,
-    began_too_late,
-    chosen_differently,
-    refused_wrongly,
+    jobs_accepted_against_level,
+    jobs_decided_inconsistently,
+    unjustified_refusals,
+    urgent_jobs_started_late,
 )
-from standins.history import done_again
-from standins.workers import Event
+from standins.history import tasks_completed_again
+from standins.workers import AttemptEvent
 
 KEY = "07" * 32
 ADMISSION_ON = Policy(
@@ -146,7 +146,7 @@
     answers = [submit(cluster, node, number) for node in NODES]
     assert [answer.status for answer in answers] == [429, 429, 429]
     assert len({answer.revision for answer in answers}) == 1
-    assert records.key(f"req-{number:06d}") not in cluster.store.rows
+    assert records.job_key(f"req-{number:06d}") not in cluster.store.rows
 
 
 def test_a_restarted_controller_answers_by_the_stored_level(cluster: Cluster) -> None:
@@ -180,7 +180,7 @@
     flood(cluster, 6, 1)
     cluster.store.delays_next_write_of.add(leader)
     node = cluster.nodes[leader]
-    admission_of(node).control.not_written()
+    admission_of(node).control.on_write_failed()
     assert not cluster.try_step(admission_of(node).publish_once), "the response to the write must be lost"
     assert cluster.store.delayed_writes
     assert cluster.store.delayed_writes[0][1][0].key == records.ADMISSION
@@ -252,7 +252,7 @@
         assert node.submit(submission_body(cluster, number, cpus=-1.0)).status == 400
         if not number % 20:
             cluster.step()
-    assert not any(admission_of(node).gate.submitted().jobs for node in cluster.nodes.values())
+    assert not any(admission_of(node).gate.submission_sample().jobs for node in cluster.nodes.values())
     assert records.ADMISSION not in cluster.store.rows
 
 
@@ -320,8 +320,8 @@
     assert submit(cluster, "n1", 9999).status == 201
     history = [Row(row.key, row.value, row.version) for row in cluster.store.changes]
     flows = {answer.job_id: SWEEP for answer in answers}
-    assert against_level(history, flows) == []
-    assert refused_wrongly(history, answers, flows) == []
+    assert jobs_accepted_against_level(history, flows) == []
+    assert unjustified_refusals(history, answers, flows) == []
 
 
 def test_completions_of_urgent_jobs_are_recorded_before_those_of_others() -> None:
@@ -345,8 +345,8 @@
     assert len(scheduler.state.pending_completions) == 5
     batch = scheduler.take_batch(2)
     assert batch is not None
-    assert batch.over[0] == "req-000005"
-    assert len(batch.over) == 1
+    assert batch.closed_jobs[0] == "req-000005"
+    assert len(batch.closed_jobs) == 1
 
 
 def test_accepted_jobs_are_recorded_while_the_leader_computes_a_level(cluster: Cluster) -> None:
@@ -419,8 +419,8 @@
     answers += flood(cluster, 8, 2000)
     history = [Row(row.key, row.value, row.version) for row in cluster.store.changes]
     flows = {answer.job_id: SWEEP for answer in answers}
-    assert against_level(history, flows) == []
-    assert refused_wrongly(history, answers, flows) == []
+    assert jobs_accepted_against_level(history, flows) == []
+    assert unjustified_refusals(history, answers, flows) == []
 
 
 class AdmissionUnderFaults(RuleBasedStateMachine):
@@ -472,8 +472,8 @@
     @invariant()
     def answers_follow_the_level(self) -> None:
         flows = {f"req-{n:06d}": SWEEP for n in range(1, 7)}
-        assert against_level(self.cluster.store.changes, flows) == []
-        assert refused_wrongly(self.cluster.store.changes, self.answers, flows) == []
+        assert jobs_accepted_against_level(self.cluster.store.changes, flows) == []
+        assert unjustified_refusals(self.cluster.store.changes, self.answers, flows) == []
 
 
 AdmissionUnderFaults.TestCase.settings = settings(
@@ -484,30 +484,37 @@
 
 LEVEL = Row(records.ADMISSION, encode(level(0.01), 4096), 5)
 REFUSED_JOB = f"req-{refused_number(level(0.01)):06d}"
-ACCEPTANCE = Row(records.key(REFUSED_JOB), [], 6)
+ACCEPTANCE = Row(records.job_key(REFUSED_JOB), [], 6)
 FLOWS = {REFUSED_JOB: SWEEP}
 
 
 def test_the_history_checks_find_violations() -> None:
-    assert against_level([LEVEL, ACCEPTANCE], FLOWS) == [REFUSED_JOB]
-    assert against_level([ACCEPTANCE, LEVEL], FLOWS) == []
-    assert against_level([Row(records.MEMBERS + "n0", "i", 1), LEVEL, ACCEPTANCE], FLOWS) == []
+    assert jobs_accepted_against_level([LEVEL, ACCEPTANCE], FLOWS) == [REFUSED_JOB]
+    assert jobs_accepted_against_level([ACCEPTANCE, LEVEL], FLOWS) == []
+    assert jobs_accepted_against_level([Row(records.MEMBERS + "n0", "i", 1), LEVEL, ACCEPTANCE], FLOWS) == []
     refused = SubmissionAnswer("n0", REFUSED_JOB, 429, 5)
-    assert refused_wrongly([LEVEL], [refused], FLOWS) == []
-    assert refused_wrongly([LEVEL], [SubmissionAnswer("n0", REFUSED_JOB, 429, 4)], FLOWS), (
+    assert unjustified_refusals([LEVEL], [refused], FLOWS) == []
+    assert unjustified_refusals([LEVEL], [SubmissionAnswer("n0", REFUSED_JOB, 429, 4)], FLOWS), (
         "refused by no stored level"
     )
-    assert refused_wrongly([Row(records.key(REFUSED_JOB), [], 3), LEVEL], [refused], FLOWS), (
+    assert unjustified_refusals([Row(records.job_key(REFUSED_JOB), [], 3), LEVEL], [refused], FLOWS), (
         "refused after its acceptance"
     )
     admitting_level = Row(records.ADMISSION, encode(level(1.0), 4096), 5)
-    assert refused_wrongly([admitting_level], [refused], FLOWS)
-    assert chosen_differently([refused, *accepted_under([LEVEL, ACCEPTANCE])]) == [REFUSED_JOB]
-    assert chosen_differently([refused, *accepted_under([ACCEPTANCE, LEVEL])]) == []
-    done, forgotten = Event("req-1/0", 1, "vm-1", "done"), Event("req-1/0", 1, "vm-1", "forgotten")
-    repeated = Event("req-1/0", 2, "vm-2", "done")
-    assert done_again([done, repeated]) == ["req-1/0"]
-    assert done_again([done, forgotten, repeated]) == []
-    assert began_too_late({"a": 5, "b": 3}, [("a", "b")]) == ["a"]
-    assert began_too_late({"a": 2, "b": 3}, [("a", "b")]) == [] == began_too_late({}, [("a", "b")])
-    assert began_too_late({"b": 3}, [("a", "b")]) == ["a"]
+    assert unjustified_refusals([admitting_level], [refused], FLOWS)
+    assert jobs_decided_inconsistently([refused, *accepted_under([LEVEL, ACCEPTANCE])]) == [REFUSED_JOB]
+    assert jobs_decided_inconsistently([refused, *accepted_under([ACCEPTANCE, LEVEL])]) == []
+    done, forgotten = (
+        AttemptEvent("req-1/0", 1, "vm-1", "done"),
+        AttemptEvent("req-1/0", 1, "vm-1", "forgotten"),
+    )
+    repeated = AttemptEvent("req-1/0", 2, "vm-2", "done")
+    assert tasks_completed_again([done, repeated]) == ["req-1/0"]
+    assert tasks_completed_again([done, forgotten, repeated]) == []
+    assert urgent_jobs_started_late({"a": 5, "b": 3}, [("a", "b")]) == ["a"]
+    assert (
+        urgent_jobs_started_late({"a": 2, "b": 3}, [("a", "b")])
+        == []
+        == urgent_jobs_started_late({}, [("a", "b")])
+    )
+    assert urgent_jobs_started_late({"b": 3}, [("a", "b")]) == ["a"]
--- a/tests/test_durable_writes.py
+++ b/tests/test_durable_writes.py
@@ -97,13 +97,13 @@
     node.scheduler.round()
     in_flight = node.scheduler.take_batch(12)
     assert in_flight is not None
-    node.scheduler.committed(batch)
+    node.scheduler.on_committed(batch)
     assert not any(p.durable for p in [*batch.placements, *in_flight.placements])
     assert in_flight.placements
     assert node.scheduler.state.in_flight is in_flight, (
         "the response does not answer the batch that this term has in flight"
     )
-    node.scheduler.not_committed(in_flight)
+    node.scheduler.on_not_committed(in_flight)
     for _ in range(3):
         cluster.step()
     assert len(running_tasks(cluster)) == 6
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -210,7 +210,7 @@
     )
     assert [worker.epoch for worker in cluster.workers.values()] == epochs, "no lease has expired"
     assert len(running_tasks(cluster)) == 12
-    assert not cluster.nodes[leader].healthy(), "users are directed to other controllers"
+    assert not cluster.nodes[leader].is_healthy(), "users are directed to other controllers"
     cluster.cancel(next(n for n in cluster.nodes if n != leader), "req-000001")
     run_for(cluster, 10.0)
     assert running_tasks(cluster) == []
--- a/tests/test_flood_loopback.py
+++ b/tests/test_flood_loopback.py
@@ -7,12 +7,12 @@
 
 from standins.admission_history import (
     accepted_under,
-    against_level,
-    began_too_late,
-    chosen_differently,
-    refused_wrongly,
+    jobs_accepted_against_level,
+    jobs_decided_inconsistently,
+    unjustified_refusals,
+    urgent_jobs_started_late,
 )
-from standins.history import done_again, ran_twice
+from standins.history import tasks_completed_again, tasks_run_concurrently
 from standins.site import KIND, Site, await_state
 from standins.state_service import StateService
 from standins.users import Users
@@ -45,7 +45,7 @@
         await_state(lambda: len(levels()) >= 2, "part of the flood is refused")
         leader = site.leader()
         assert leader is not None
-        ended = [leader, next(name for name in site.controllers.fronts if name != leader)]
+        ended = [leader, next(name for name in site.controllers.front_addresses if name != leader)]
         for name in ended:
             site.controllers.kill(name)
         await_state(lambda: site.leader() not in (None, leader), "another controller is leader")
@@ -64,7 +64,7 @@
         names = [s.job["id"] for s in accepted]
 
         def unfinished() -> set[str]:
-            done = {event.task_id for event in list(site.fleet.history) if event.what == "done"}
+            done = {event.task_id for event in list(site.fleet.history) if event.kind == "done"}
             return {f"{name}/0" for name in names} - done
 
         await_state(lambda: not unfinished(), "all accepted jobs are done")
@@ -72,10 +72,13 @@
         answers, changes = users.all_answers(), state.history()
         flows = {s.job["id"]: flow_of(s.job) for s in submissions}
         assert any(answer.status == 429 for answer in answers), "some submissions were refused with 429"
-        assert against_level(changes, flows) == [] and refused_wrongly(changes, answers, flows) == []
-        assert chosen_differently([*answers, *accepted_under(changes)]) == []
+        assert (
+            jobs_accepted_against_level(changes, flows) == []
+            and unjustified_refusals(changes, answers, flows) == []
+        )
+        assert jobs_decided_inconsistently([*answers, *accepted_under(changes)]) == []
         history = list(site.fleet.history)
-        assert ran_twice(history) == [] and done_again(history) == []
+        assert tasks_run_concurrently(history) == [] and tasks_completed_again(history) == []
         served = {(s.job["lane"], s.job["crew"]) for s in accepted}
         assert served == {(s.job["lane"], s.job["crew"]) for s in submissions}, (
             "every class of every team had submissions accepted"
@@ -91,11 +94,11 @@
         )
         first_attempts: dict[str, int] = {}
         for event in history:
-            if event.what == "running":
+            if event.kind == "running":
                 first_attempts.setdefault(event.task_id.partition("/")[0], event.number)
         urgent_accepted_first = [
             (build.job["id"], sweep.job["id"])
             for build, sweep in zip(builds, sweeps, strict=False)
             if build.accepted_at and sweep.accepted_at and build.accepted_at < sweep.accepted_at - 1.0
         ]
-        assert began_too_late(first_attempts, urgent_accepted_first) == []
+        assert urgent_jobs_started_late(first_attempts, urgent_accepted_first) == []
--- a/tests/test_leadership_transfer.py
+++ b/tests/test_leadership_transfer.py
@@ -7,8 +7,8 @@
 from fakes.worker import FakeWorker
 
 from bayford.clock import NEVER
-from bayford.coordination.leadership.membership import lacks_failover_neighbour
-from bayford.coordination.leadership.transfer import WorkerContact, successor
+from bayford.coordination.leadership.membership import is_next_controller_in_same_zone
+from bayford.coordination.leadership.transfer import WorkerContact, choose_successor
 from bayford.storage import records
 from bayford.storage.key_value_store import Put
 
@@ -196,14 +196,14 @@
 def test_the_successor_receives_most_heartbeats_and_the_leader_almost_none(
     direct: int, relayed: dict[str, int], expected: str | None
 ) -> None:
-    assert successor(WorkerContact(direct, relayed), OTHERS) == expected
+    assert choose_successor(WorkerContact(direct, relayed), OTHERS) == expected
 
 
 def test_the_leaders_failover_neighbour_should_be_in_the_other_zone() -> None:
     zones = {f"n{n}": "east" if n % 2 else "west" for n in range(7)}
-    assert [name for name in sorted(zones) if lacks_failover_neighbour(name, zones)] == ["n6"], (
+    assert [name for name in sorted(zones) if is_next_controller_in_same_zone(name, zones)] == ["n6"], (
         "its neighbour n0 is also in the zone west"
     )
-    assert not any(lacks_failover_neighbour(name, {"n0": "a", "n1": "a"}) for name in ("n0", "n1")), (
+    assert not any(is_next_controller_in_same_zone(name, {"n0": "a", "n1": "a"}) for name in ("n0", "n1")), (
         "with one zone it makes no difference"
     )
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -6,9 +6,14 @@
 import pytest
 
 from bayford.recovery.zone_record import decode, key
-from standins.history import not_done_once, out_of_order, ran_twice, without_one_answer
+from standins.history import (
+    jobs_with_inconsistent_phase,
+    out_of_order,
+    tasks_not_completed_once,
+    tasks_run_concurrently,
+)
 from standins.site import KIND, Site, await_state, job
-from standins.workers import Event
+from standins.workers import AttemptEvent
 
 ALL_FEATURES = (Path(__file__).parent.parent / "deploy" / "all-parts.star").read_text()
 # Keeps idle machines, however slow the test runs.
@@ -59,18 +64,25 @@
             lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "all jobs are done"
         )
         history = list(site.fleet.history)
-        assert not_done_once(history, [f"{name}/{task}" for name in names for task in range(TASKS)]) == []
-        assert ran_twice(history) == []
+        assert (
+            tasks_not_completed_once(history, [f"{name}/{task}" for name in names for task in range(TASKS)])
+            == []
+        )
+        assert tasks_run_concurrently(history) == []
         for n in range(JOBS):
-            status, body = site.controllers.ask("n0", "POST", "/api/jobs", job(n, IMAGES[n % 3], TASKS))
+            status, body = site.controllers.send_request(
+                "n0", "POST", "/api/jobs", job(n, IMAGES[n % 3], TASKS)
+            )
             assert (status, body["phase"]) == (200, "done"), "a repeated submission gets the one final answer"
-        assert any("placed by cost: job=" in site.controllers.log(name) for name in site.controllers.fronts)
+        assert any(
+            "placed by cost: job=" in site.controllers.log(name) for name in site.controllers.front_addresses
+        )
 
 
-A, B = Event("req-1/0", 1, "vm-1", "running"), Event("req-1/0", 2, "vm-2", "running")
-A_DONE, B_DONE = Event("req-1/0", 1, "vm-1", "done"), Event("req-1/0", 2, "vm-2", "done")
-A_LOST = Event("req-1/0", 1, "vm-1", "lost")
-LATER = Event("req-2/0", 3, "vm-2", "running")
+A, B = AttemptEvent("req-1/0", 1, "vm-1", "running"), AttemptEvent("req-1/0", 2, "vm-2", "running")
+A_DONE, B_DONE = AttemptEvent("req-1/0", 1, "vm-1", "done"), AttemptEvent("req-1/0", 2, "vm-2", "done")
+A_LOST = AttemptEvent("req-1/0", 1, "vm-1", "lost")
+LATER = AttemptEvent("req-2/0", 3, "vm-2", "running")
 
 
 @pytest.mark.parametrize(
@@ -81,15 +93,15 @@
         ([A, A_DONE, B, B_DONE, LATER], [], ["req-1/0"], []),  # the task is done twice
         ([A, A_LOST, B, LATER], [], ["req-1/0"], []),  # the task is never done
         # req-2 starts on vm-2 before req-1.
-        ([A, A_LOST, Event("req-2/0", 1, "vm-2", "running"), B, B_DONE], [], [], ["req-2"]),
+        ([A, A_LOST, AttemptEvent("req-2/0", 1, "vm-2", "running"), B, B_DONE], [], [], ["req-2"]),
         ([A, A_DONE, LATER], [], [], ["req-2"]),  # req-1 never starts on vm-2
     ],
 )
 def test_the_history_checks_report_violations(
-    history: list[Event], twice: list[str], not_once: list[str], order: list[str]
+    history: list[AttemptEvent], twice: list[str], not_once: list[str], order: list[str]
 ) -> None:
-    assert ran_twice(history) == twice
-    assert not_done_once(history, ["req-1/0"]) == not_once
+    assert tasks_run_concurrently(history) == twice
+    assert tasks_not_completed_once(history, ["req-1/0"]) == not_once
     assert out_of_order(history, ["vm-2"], ["req-1", "req-2"]) == order
 
 
@@ -106,7 +118,7 @@
 def test_the_answer_check_reports_jobs_without_one_common_answer(
     phases: dict[str, str | None], wrong: list[str]
 ) -> None:
-    assert without_one_answer({"req-1": phases}, "done") == wrong
+    assert jobs_with_inconsistent_phase({"req-1": phases}, "done") == wrong
 
 
 RECOVERY_SCRIPT = (
@@ -129,7 +141,7 @@
 
         site.submit(job(0, "img-0", 48, "mirror-trickle"), run_s=math.inf)
         await_state(lambda: sum(site.fleet.loads().values()) == 6.0, "all tasks run")
-        site.fleet.cut_zone("south", away=True)
+        site.fleet.set_zone_partitioned("south", partitioned=True)
         await_state(lambda: state() == "lost", "the loss is recorded")
         bound = {"yard": "south", "rank": "normal"}
         for number, name in ((1, "mirror-trickle"), (2, "rebuild-sweep"), (3, "hot-builds")):
@@ -140,7 +152,7 @@
         await_state(lambda: site.leader() not in (None, leader), "another controller is leader")
         site.start(leader)
         for away in (False, True, False):  # it flaps
-            site.fleet.cut_zone("south", away)
+            site.fleet.set_zone_partitioned("south", away)
         names = [f"req-{n:06d}" for n in range(4)]
         tasks = [f"{names[0]}/{n}" for n in range(48)]
         tasks += [f"{name}/{n}" for name in names[1:] for n in range(6)]
@@ -158,9 +170,11 @@
             lambda: all(set(site.phases(name).values()) == {"done"} for name in names), "all jobs are done"
         )
         history = list(site.fleet.history)
-        assert ran_twice(history) == [] and not_done_once(history, tasks) == []
-        assert without_one_answer({name: site.phases(name) for name in names}, "done") == []
-        status, body = site.controllers.ask("n0", "POST", "/api/jobs", job(0, "img-0", 48, "mirror-trickle"))
+        assert tasks_run_concurrently(history) == [] and tasks_not_completed_once(history, tasks) == []
+        assert jobs_with_inconsistent_phase({name: site.phases(name) for name in names}, "done") == []
+        status, body = site.controllers.send_request(
+            "n0", "POST", "/api/jobs", job(0, "img-0", 48, "mirror-trickle")
+        )
         assert (status, body["phase"]) == (200, "done")
         losses = decode(site.state.values("b/zone/")[key("south")]).losses
         assert losses and all(loss.totals()["open"] == 0 for loss in losses)
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -47,24 +47,24 @@
     cluster = started_cluster(machines=1, nodes=2)
     cluster.store.down = True
     run_for(cluster, 20.0, cloud=False)
-    assert all(not node.connectivity.is_isolated() and node.healthy() for node in cluster.nodes.values())
+    assert all(not node.connectivity.is_isolated() and node.is_healthy() for node in cluster.nodes.values())
     assert all(worker.epoch == 1 for worker in cluster.workers.values())
 
 
 def test_a_controller_that_alone_is_refused_by_the_store_reports_itself_unhealthy() -> None:
     cluster = started_cluster(nodes=2)
-    assert cluster.nodes["n1"].healthy()
+    assert cluster.nodes["n1"].is_healthy()
     cluster.store.unavailable_to.add("n1")
-    cluster.nodes["n1"].peers.asks = {"n0": lambda timeout_s: cluster.nodes["n0"].status()}
+    cluster.nodes["n1"].peers.pollers = {"n0": lambda timeout_s: cluster.nodes["n0"].status()}
     for _ in range(5):
         cluster.step(1.0)
         cluster.nodes["n1"].peer_poller.step()
-    assert cluster.nodes["n0"].healthy() and not cluster.nodes["n1"].healthy()
+    assert cluster.nodes["n0"].is_healthy() and not cluster.nodes["n1"].is_healthy()
     cluster.store.unavailable_to.add("n0")
     for _ in range(9):
         cluster.step(1.0)
         cluster.nodes["n1"].peer_poller.step()
-    assert cluster.nodes["n1"].healthy(), (
+    assert cluster.nodes["n1"].is_healthy(), (
         "an outage for all: every controller stays healthy and tells users to retry"
     )
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -4,7 +4,7 @@
 from fakes.scenarios import run_for, running_tasks, started_cluster
 
 from bayford.scheduling.model import ARRAY, SERVICE, Job, JobSpec, Placement
-from bayford.scheduling.preemption import MISSED_DEADLINE, REPEATED_STOP, delay_cost
+from bayford.scheduling.preemption import MISSED_DEADLINE_COST, REPEATED_PREEMPTION_COST, delay_cost
 
 EXPECTED_S = 40.0
 
@@ -51,16 +51,16 @@
 
 def test_the_cost_of_preempting_a_task_increases_with_each_preemption() -> None:
     job = array()
-    job.note_preemption(9)
-    job.note_preemption(9)
-    assert cost(job) == 2 * REPEATED_STOP * EXPECTED_S
+    job.record_preemption(9)
+    job.record_preemption(9)
+    assert cost(job) == 2 * REPEATED_PREEMPTION_COST * EXPECTED_S
 
 
 @pytest.mark.parametrize(
     ("due_s", "expected"),
     [
         (1000.0, 0.0),  # in time either way
-        (150.0, MISSED_DEADLINE * EXPECTED_S),  # in time only if it is not preempted
+        (150.0, MISSED_DEADLINE_COST * EXPECTED_S),  # in time only if it is not preempted
         (130.0, 0.0),  # late either way
     ],
 )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,9 +16,9 @@
 from bayford.coordination.leader.recovered_state import RecoveredState
 from bayford.coordination.leader.scaling_actions import Deletion, LaunchRequest, ScalingActions
 from bayford.coordination.leader.scheduler import Scheduler
-from bayford.coordination.workers.relay import heartbeats_in
+from bayford.coordination.workers.relay import decode_heartbeats
 from bayford.protocol import workers
-from bayford.protocol.cloud_api import LIST_PAGE, CloudBusyError, Listed, MachinePage
+from bayford.protocol.cloud_api import MACHINES_PER_PAGE, CloudBusyError, ListedMachine, MachinePage
 from bayford.scheduling.model import MachineType
 from bayford.scheduling.policy import Policy
 from bayford.storage import records
@@ -132,11 +132,14 @@
     def delete(self, names: list[str]) -> None:
         self._take_token("delete")
 
-    def machines(self, since: str) -> MachinePage:
+    def list_machines(self, since: str) -> MachinePage:
         self._take_token("list")
         after = [name for name in self.names if name > since]
-        page = [Listed(name, "", "small", "north", True, "running", 9.0) for name in after[:LIST_PAGE]]
-        return MachinePage(page, len(after) > LIST_PAGE)
+        page = [
+            ListedMachine(name, "", "small", "north", True, "running", 9.0)
+            for name in after[:MACHINES_PER_PAGE]
+        ]
+        return MachinePage(page, len(after) > MACHINES_PER_PAGE)
 
 
 class AlwaysVerifiedLeader:
@@ -145,7 +148,7 @@
     def is_verified_leader(self) -> bool:
         return True
 
-    def no_competing_leader(self) -> bool:
+    def has_no_competing_leader(self) -> bool:
         return False
 
 
@@ -197,7 +200,7 @@
     requests = [LaunchRequest("small", "north", True, 50, "backlog")] * 400
     for request in requests:
         scheduler.autoscaler._add_launching(scheduler.autoscaler._pool(request), request.count)
-    operations.carry_out(ScalingActions(requests, [Deletion("vm-000001", "idle")]))
+    operations.enqueue(ScalingActions(requests, [Deletion("vm-000001", "idle")]))
     assert operations.delete(["vm-000001"])
     waiting = sum(scheduler.state.launching.values())
     assert MACHINES <= waiting < 400 * 50, (
@@ -209,8 +212,8 @@
     cluster = Cluster(nodes=2)
     relay = cluster.nodes["n1"].relay
     heartbeats = [cluster.machine().heartbeat() for _ in range(MACHINES + 500)]
-    assert not any(relay.stale(heartbeat) for heartbeat in heartbeats)
-    assert all(relay.stale(heartbeat) for heartbeat in heartbeats), "each of them was received before"
+    assert not any(relay.is_stale(heartbeat) for heartbeat in heartbeats)
+    assert all(relay.is_stale(heartbeat) for heartbeat in heartbeats), "each of them was received before"
 
 
 def test_a_relay_of_4000_machines_keeps_within_the_write_rate_and_forwards_each_machine() -> None:
@@ -235,13 +238,13 @@
                 (task_id, n): Attempt(task_id, rng.randrange(10**5), "running")
                 for n, task_id in enumerate(task_ids)
             }
-            relaying.relay.note(worker.heartbeat())
+            relaying.relay.store_heartbeat(worker.heartbeat())
         fleet = fleet[1:] + fleet[:1]
         cluster.try_step(relaying.relay_publisher.publish)
         for key, (value, version, _) in cluster.store.rows.items():
             if key.startswith(records.RELAYS) and seen_versions.get(key) != version:
                 seen_versions[key] = version
-                for heartbeat in heartbeats_in(Row(key, value, version), cluster.clock.wall())[1]:
+                for heartbeat in decode_heartbeats(Row(key, value, version), cluster.clock.wall())[1]:
                     last_heartbeat_at[heartbeat.machine].append(cluster.clock.now)
     assert cluster.store.rate_limited_count == 0
     assert len(seen_versions) > 2 * cluster.store.write_rps, "more values than may be written in two seconds"
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -204,7 +204,7 @@
     cluster.submit("n0", cluster.job(2, parts=1, cpus=2.0, yard="north", crew="red"))
     for _ in range(8):
         cluster.step()
-    assert cluster.nodes["n0"].scheduler.state.moves == 1, "exactly one task migrates"
+    assert cluster.nodes["n0"].scheduler.state.migrations == 1, "exactly one task migrates"
     north, south = cluster.workers.values()
     assert "req-000002/0" in north.running()
     assert len(south.running()) == 1 and south.running()[0].startswith("req-000001/")
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,7 +7,7 @@
 from fakes.cluster import Cluster
 from fakes.scenarios import running_tasks
 
-from bayford.protocol.cloud_api import Listed
+from bayford.protocol.cloud_api import ListedMachine
 from bayford.scheduling import placement_rules, scaling
 from bayford.scheduling.model import Machine
 from bayford.storage import records
@@ -133,7 +133,7 @@
     name = next(iter(replicas_by_machine(cluster)))
     scheduler = cluster.nodes["n0"].scheduler
     cluster.network_cuts.add((name, "n0"))
-    failed = Listed(name, "", "small", cluster.workers[name].zone, False, "failed", 60.0)
+    failed = ListedMachine(name, "", "small", cluster.workers[name].zone, False, "failed", 60.0)
     scheduler.on_list([failed], cluster.clock.now)
     cluster.cloud_step("n0")
     run_steps(cluster, 4)
@@ -371,7 +371,7 @@
 def test_service_launches_cover_the_demand_per_machine_type(cluster: Cluster) -> None:
     types = cluster.nodes["n0"].scheduler.types
     small, cards = scaling.MachinePool(0, 0, False), scaling.MachinePool(1, 0, False)
-    group = scaling.Group(frozenset({small, cards}), {0: 6.0, 1: 3.0})
+    group = scaling.ServiceGroup(frozenset({small, cards}), {0: 6.0, 1: 3.0})
     none: frozenset[scaling.MachinePool] = frozenset()
     assert [(r.pool, r.count) for r in scaling.plan_service_launches([group], types, {}, none)] == [
         (small, 6)
@@ -437,7 +437,7 @@
     assert list(replicas_by_machine(cluster)) != [original_machine] and list(
         replicas_by_machine(cluster, "req-000006")
     ) == [original_machine]
-    assert cluster.nodes["n0"].scheduler.state.moves == 1
+    assert cluster.nodes["n0"].scheduler.state.migrations == 1
 
 
 def test_the_readmes_service_can_be_submitted_queried_and_cancelled() -> None:
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -14,7 +14,7 @@
 from bayford.scheduling import placement_rules, tempered
 from bayford.scheduling.model import Job, Machine, MachineType, Placement
 from bayford.scheduling.policy import Policy
-from bayford.scheduling.tempered import Counts, Host, Item
+from bayford.scheduling.tempered import Host, Item, SearchLimits
 from bayford.spread.machine_snapshot import snapshot_of
 from bayford.spread.rebalance import Rebalancing, Relocation, rebalance
 from bayford.spread.restarts import RestartBudget, UnreadableCountsError
@@ -38,7 +38,7 @@
         choice.machine.reserve(job.spec)
         choice.machine.images.setdefault(job.image, False)
         chosen.append(choice.machine)
-        chooser.placed(choice)
+        chooser.return_machine(choice)
     return chosen
 
 
@@ -150,7 +150,9 @@
     fleet: list[Host], max_moves: int, threshold: float, seed: int
 ) -> None:
     before = {host.index: (host.free, list(host.items)) for host in fleet}
-    plan = rebalance(fleet, threshold, Counts(4, 3, max_moves), lambda key, target: True, random.Random(seed))
+    plan = rebalance(
+        fleet, threshold, SearchLimits(4, 3, max_moves), lambda key, target: True, random.Random(seed)
+    )
     assert {host.index: (host.free, host.items) for host in fleet} == before, (
         "planning does not modify the machines"
     )
@@ -186,7 +188,7 @@
     rng = random.Random(seed)
     hosts_by_index = {host.index: host for host in fleet}
     for _ in range(200):
-        plan = rebalance(fleet, 1.0, Counts(4, 3, 2), lambda key, target: True, rng)
+        plan = rebalance(fleet, 1.0, SearchLimits(4, 3, 2), lambda key, target: True, rng)
         if plan is None:
             break
         for relocation in plan.relocations:
@@ -212,7 +214,7 @@
         for n in range(3)
     ]
     fleet += [Host(n, 4.0, (4.0, 0.0, 4.0), []) for n in range(3, 12)]
-    plan = rebalance(fleet, 2.0, Counts(4, 3, 1), lambda key, target: True, random.Random(1))
+    plan = rebalance(fleet, 2.0, SearchLimits(4, 3, 1), lambda key, target: True, random.Random(1))
     assert plan is not None
     assert len(plan.relocations) == 1
 
@@ -223,7 +225,9 @@
     one_large.append(Host(3, 4.0, (0.0, 0.0, 0.0), [Item(("req-9/0", 1), (4.0, 0.0, 4.0))]))
     for fleet in (balanced, one_large):
         for seed in range(20):
-            assert rebalance(fleet, 1.0, Counts(4, 3, 4), lambda k, t: True, random.Random(seed)) is None
+            assert (
+                rebalance(fleet, 1.0, SearchLimits(4, 3, 4), lambda k, t: True, random.Random(seed)) is None
+            )
 
 
 # -- restart budgets
@@ -236,12 +240,12 @@
     budget = RestartBudget({"sweep": limit}, 9)
     restarts_of = dict.fromkeys(range(4), 0)
     for task, failover in events:
-        if failover and budget.knows("req-1"):
+        if failover and budget.has_counts("req-1"):
             stored = budget.encode("req-1")
             budget = RestartBudget({"sweep": limit}, 9)
             budget.load("req-1", stored)
         if budget.allows("req-1", "sweep", task):
-            budget.note("req-1", task)
+            budget.record_migration("req-1", task)
             restarts_of[task] += 1
     assert max(restarts_of.values()) <= limit
 
@@ -261,10 +265,10 @@
     budget = RestartBudget({}, 1, value_bytes=384)
     task = 0
     while budget.allows("req-1", "sweep", 10**5 - task):
-        budget.note("req-1", 10**5 - task)
+        budget.record_migration("req-1", 10**5 - task)
         task += 1
     assert task > 10
-    assert records.size(budget.encode("req-1")) <= 384
+    assert records.encoded_size(budget.encode("req-1")) <= 384
 
 
 # -- the leader's migrations
@@ -379,7 +383,7 @@
         assert cluster.cancel("n0", "req-000001") == "aborted"
     elif event == "target":
         cluster.cloud.execute_delete([node.scheduler.state.machine_names[target]])
-        node.scheduler.deleted([node.scheduler.state.machine_names[target]])
+        node.scheduler.on_deletion_confirmed([node.scheduler.state.machine_names[target]])
     else:
         cluster.boot("n0")
 
@@ -398,13 +402,13 @@
     if counted:
         node.commit_loop.commit_once()
         assert placement.stopping
-        assert node.scheduler.state.moves >= 1
+        assert node.scheduler.state.migrations >= 1
     trigger_event(cluster, event, placement, target)
     if event != "leader" and not counted:
-        before = node.scheduler.state.moves, set(node.scheduler.state.stopping)
+        before = node.scheduler.state.migrations, set(node.scheduler.state.stopping)
         node.watch_cache.pull(0.0)
         node.commit_loop.commit_once()
-        assert (node.scheduler.state.moves, set(node.scheduler.state.stopping) - {placement}) == (
+        assert (node.scheduler.state.migrations, set(node.scheduler.state.stopping) - {placement}) == (
             0,
             before[1] - {placement},
         )
@@ -429,7 +433,7 @@
     cluster = unbalanced_cluster()
     cluster.submit("n0", cluster.job(2, crew="open", parts=1, yard="south"))
     run_for(cluster, 40.0, cloud=False)
-    assert cluster.nodes["n0"].scheduler.state.moves == 0
+    assert cluster.nodes["n0"].scheduler.state.migrations == 0
     assert cluster.nodes["n0"].scheduler.state.jobs["req-000002"].waiting == [0]
 
 
@@ -505,8 +509,8 @@
     job = scheduler.state.jobs["req-000001"]
     image_machine, target = sorted(scheduler.state.machines)[:2]
     scheduler.state.machines[image_machine].images[job.image] = True
-    scheduler.state.capacity_index.holds(scheduler.state.machines[image_machine], job.image)
-    job.hints[0] = target
+    scheduler.state.capacity_index.add_image(scheduler.state.machines[image_machine], job.image)
+    job.migration_targets[0] = target
     scheduler.round()
     assert job.open[0].machine == target
 
@@ -520,7 +524,7 @@
         for worker in cluster.workers.values():
             cluster.heartbeat(worker, "n0")
         cluster.step_controller("n0")
-    assert cluster.nodes["n0"].scheduler.state.moves == 0
+    assert cluster.nodes["n0"].scheduler.state.migrations == 0
 
 
 def test_a_machine_of_an_unlisted_type_gets_no_work_and_is_logged_once(
--- a/tests/test_task_log.py
+++ b/tests/test_task_log.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bayford.storage.records import UnreadableError
-from bayford.storage.row_builder import KEEP_ROWS, RowBuilder
+from bayford.storage.row_builder import TARGET_ROWS, RowBuilder
 from bayford.storage.task_log import TaskLog
 
 
@@ -38,7 +38,7 @@
         if self.expected_state and rng.random() < 0.02:
             job = rng.choice(sorted(self.expected_state))
             if builder.has_space(job):
-                builder.add_over(job)
+                builder.add_ended_job(job)
                 del self.expected_state[job]
                 self.ended_jobs.add(job)
         builder.add_snapshots({job: set(expected_tasks) for job, expected_tasks in changed.items()})
@@ -134,12 +134,12 @@
                 writer.task_log.tail,
                 writer.task_log.next_slots(3),
             )
-            assert rebuilt.placed_on == writer.task_log.placed_on
+            assert rebuilt.placements_by_machine == writer.task_log.placements_by_machine
     for row in delayed_rows:
         late_reader.apply_row(*row)
     assert writer.state(late_reader) == writer.state(writer.task_log)
     # A row that is too short for a snapshot must not stop the tail: the log would grow without bound.
-    kept_rows = KEEP_ROWS * (layout_bytes // row_bytes)
+    kept_rows = TARGET_ROWS * (layout_bytes // row_bytes)
     if row_bytes >= 2048:
         assert longest <= 3 * kept_rows, "the log stays short while open work fits into a few rows"
     assert longest <= 20 * kept_rows
@@ -203,7 +203,7 @@
     before = dict(task_log.jobs["req-1"].open)
     for n in range(3000):
         append(partial(add_open, job_id="req-2", task=n % 7, attempt=n, machine="vm-2"))
-    assert len(stored) <= 2 * KEEP_ROWS * 8 + task_log.block_size
+    assert len(stored) <= 2 * TARGET_ROWS * 8 + task_log.block_size
     assert task_log.jobs["req-1"].open == before
     rebuilt = TaskLog(8192)
     rebuilt.rebuild([(slot, 1, value) for slot, value in stored.items()])
--- a/tests/test_tempered.py
+++ b/tests/test_tempered.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bayford.scheduling import tempered
-from bayford.scheduling.tempered import Counts, Host, Item
+from bayford.scheduling.tempered import Host, Item, SearchLimits
 
 ALLOW_ALL = lambda key, target: True  # noqa: E731
 
@@ -58,7 +58,7 @@
 
 def test_a_worked_example_moves_one_task() -> None:
     hosts = [host(0, 4, 2, 1, 1), host(1, 4, 1), host(2, 4, 2)]
-    plan = tempered.free_room(hosts, 0, (2.0, 0.0, 2.0), Counts(8, 3, 3), ALLOW_ALL, random.Random(1))
+    plan = tempered.free_room(hosts, 0, (2.0, 0.0, 2.0), SearchLimits(8, 3, 3), ALLOW_ALL, random.Random(1))
     assert plan is not None
     assert [m.key[0] for m in plan.moves] == ["req-0/0"]
     assert plan.moves[0].target == 1, "a migration to host 2 would only swap the loads"
@@ -70,7 +70,7 @@
 def test_every_resource_must_fit_and_the_job_must_allow_the_target() -> None:
     hosts = [host(0, 4, 2, 2), host(1, 4)]
     hosts[1].free = (4.0, 0.0, 1.0)
-    counts = Counts(8, 3, 3)
+    counts = SearchLimits(8, 3, 3)
     assert tempered.free_room(hosts, 0, (2.0, 0.0, 2.0), counts, ALLOW_ALL, random.Random(1)) is None
     hosts[1].free = (4.0, 0.0, 4.0)
     deny_all = lambda key, target: False  # noqa: E731
@@ -102,9 +102,9 @@
     need = (5.0, 0.0, 5.0)
     rng = random.Random(5)
     state = rng.getstate()
-    best = tempered.free_room(hosts, 0, need, Counts(10, 1, 4), ALLOW_ALL, rng)
+    best = tempered.free_room(hosts, 0, need, SearchLimits(10, 1, 4), ALLOW_ALL, rng)
     rng.setstate(state)
-    singles = [tempered.free_room(hosts, 0, need, Counts(1, 1, 4), ALLOW_ALL, rng) for _ in range(10)]
+    singles = [tempered.free_room(hosts, 0, need, SearchLimits(1, 1, 4), ALLOW_ALL, rng) for _ in range(10)]
     imbalances = [s.imbalance for s in singles if s is not None]
     assert best is not None and best.imbalance == min(imbalances)
     assert len(set(imbalances)) > 1, "trials have different results"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 
 from bayford.coordination.store_limits import StoreLimits
 from bayford.coordination.store_writer import write_each
-from bayford.coordination.workers.relay import heartbeats_in
+from bayford.coordination.workers.relay import decode_heartbeats
 from bayford.protocol import mesh, workers
 from bayford.storage import load_summary, records, row_builder, task_log
 from bayford.storage.key_value_store import Put, Row, TooLargeError
@@ -58,9 +58,9 @@
     for value in GOLDEN["records"]:
         record = records.decode(value)
         assert records.encode(record) == value, "an older release requires exactly these fields"
-        assert records.fitted(record, 2048) == value
+        assert records.encode_within(record, 2048) == value
     array, daemon = (records.decode(value) for value in GOLDEN["records"][:2])
-    assert not array.over and daemon.spec.shape == "service" and daemon.spec.tasks == 6
+    assert not array.is_final and daemon.spec.shape == "service" and daemon.spec.tasks == 6
 
 
 def test_production_rows_rebuild_their_state_and_shorter_rows_keep_their_format() -> None:
@@ -93,11 +93,11 @@
 
 
 def test_production_relay_values_summaries_status_and_responses_are_decoded_and_encoded_unchanged() -> None:
-    name, heartbeats = heartbeats_in(Row("b/relay/n2/0", GOLDEN["relay"], 5), GOLDEN["relay"]["at"])
+    name, heartbeats = decode_heartbeats(Row("b/relay/n2/0", GOLDEN["relay"], 5), GOLDEN["relay"]["at"])
     assert name == "n2" and [msgspec.to_builtins(r) for r in heartbeats] == [GOLDEN["report"]]
     assert mesh.pack_heartbeats(heartbeats, 2000) == [GOLDEN["relay"]["reports"]]
     rows = [Row(key, value, 5) for key, value in GOLDEN["summary"]]
-    assert load_summary.newest(rows, 0.0) == {"vm-000231": ["img-07", "img-1"], "vm-000232": ["img-1"]}
+    assert load_summary.newest_images(rows, 0.0) == {"vm-000231": ["img-07", "img-1"], "vm-000232": ["img-1"]}
     machines = [("vm-000231", 0.5, ["img-07", "img-1"]), ("vm-000232", 0.0, ["img-1"])]
     assert [[p.key, p.value] for p in load_summary.encode("n2", 1700000003.0, machines, 2048, 0)] == GOLDEN[
         "summary"
@@ -114,7 +114,7 @@
         orjson.loads(workers.encode_response(7, [*commands, workers.Reap("req-000398/0", 1)]))
         == GOLDEN["answer"]
     )
-    assert orjson.loads(workers.redirect("n2")) == GOLDEN["redirect"]
+    assert orjson.loads(workers.encode_redirect("n2")) == GOLDEN["redirect"]
 
 
 def test_the_leadership_record_and_member_records_keep_the_production_format() -> None:
@@ -339,7 +339,10 @@
         )
         assert len(running_tasks(cluster)) == 3
     assert cluster.nodes["n2"].membership.record.fencing_token == fencing_token + 1
-    assert not cluster.nodes["n0"].peers.older() and not cluster.nodes["n2"].peers.older()
+    assert (
+        not cluster.nodes["n0"].peers.peers_of_older_release()
+        and not cluster.nodes["n2"].peers.peers_of_older_release()
+    )
 
 
 def test_no_failover_from_an_old_leader_while_any_controller_is_unreachable() -> None:
--- a/tools/flood_trial.py
+++ b/tools/flood_trial.py
@@ -28,8 +28,8 @@
 # E402: these imports need the path set above.
 from bayford.admission.level import Flow  # noqa: E402
 from bayford.scheduling.model import PRIORITIES  # noqa: E402
-from standins.admission_history import against_level, refused_wrongly  # noqa: E402
-from standins.history import ran_twice  # noqa: E402
+from standins.admission_history import jobs_accepted_against_level, unjustified_refusals  # noqa: E402
+from standins.history import tasks_run_concurrently  # noqa: E402
 from standins.site import KIND, Site, await_state, job  # noqa: E402
 from standins.state_service import StateService  # noqa: E402
 from standins.users import Submission, Users  # noqa: E402
@@ -69,7 +69,7 @@
     """Kill the leader and another controller after a third of `seconds`; restart them 3 s later."""
     time.sleep(seconds / 3)
     leader = site.leader() or "n0"
-    killed = [leader, next(name for name in site.controllers.fronts if name != leader)]
+    killed = [leader, next(name for name in site.controllers.front_addresses if name != leader)]
     for name in killed:
         site.controllers.kill(name)
     time.sleep(3.0)
@@ -92,9 +92,9 @@
     done = set()
     for event in list(site.fleet.history):
         name = event.task_id.partition("/")[0]
-        if event.what == "running":
+        if event.kind == "running":
             started_at.setdefault(name, event.at)
-        elif event.what == "done":
+        elif event.kind == "done":
             done.add(name)
     waits = [started_at[s.job["id"]] - s.first_at for s in of_class if s.job["id"] in started_at]
     waits_after_acceptance = [
@@ -115,7 +115,7 @@
 def format_request_counts(site: Site) -> str:
     """Format the counts of requests to the state service per component, from the controllers' logs."""
     counts: dict[str, list[int]] = {}
-    for name in site.controllers.fronts:
+    for name in site.controllers.front_addresses:
         log = site.controllers.log(name)
         last_lines = {match[1]: match for match in REQUEST_COUNTS_LINE.finditer(log)}
         for component, match in last_lines.items():
@@ -226,8 +226,11 @@
     """Print violations in the histories of admission and task attempts; return whether there are none."""
     flows = {s.job["id"]: flow_of(s.job) for s in users.submissions}
     history = site.state.history()
-    violations = [*against_level(history, flows), *refused_wrongly(history, users.all_answers(), flows)]
-    tasks_run_twice = ran_twice(site.fleet.history)
+    violations = [
+        *jobs_accepted_against_level(history, flows),
+        *unjustified_refusals(history, users.all_answers(), flows),
+    ]
+    tasks_run_twice = tasks_run_concurrently(site.fleet.history)
     if violations or tasks_run_twice:
         print(f"  WRONG: against their level {violations[:5]}; ran twice {tasks_run_twice[:5]}")
     return not violations and not tasks_run_twice
--- a/tools/zone_trial.py
+++ b/tools/zone_trial.py
@@ -49,13 +49,13 @@
         site.submit(job(0, "img-0", tasks, "mirror-trickle", rank="idle"), run_s=1e9)
         await_state(lambda: count_running("req-000000") == tasks, "all tasks run", TIMEOUT_S)
         time.sleep(8.0 + rng.random())  # longer than a lease
-        site.fleet.cut_zone("south", away=True)
+        site.fleet.set_zone_partitioned("south", partitioned=True)
         partitioned_at = time.monotonic()
         await_state(lambda: count_running("req-000000") == tasks, "all tasks run elsewhere", TIMEOUT_S)
         recovery_s = time.monotonic() - partitioned_at
         for number, name in enumerate(CLASSES, 1):
             site.submit(job(number, f"img-{number}", machines * 2, name, yard="south", rank="normal"), 1e9)
-        site.fleet.cut_zone("south", away=False)
+        site.fleet.set_zone_partitioned("south", partitioned=False)
         for _ in range(machines // 2):
             site.fleet.launch(KIND, "south", True)
         returned_at = time.monotonic()
@@ -65,7 +65,7 @@
                 if name not in served_after_s and count_running(f"req-{number:06d}") == machines * 2:
                     served_after_s[name] = time.monotonic() - returned_at
             time.sleep(0.1)
-        starts = sum(event.what == "running" for event in site.fleet.history)
+        starts = sum(event.kind == "running" for event in site.fleet.history)
         counts = [count_running(f"req-{number:06d}") for number in range(1, 4)]
         served_columns = "  ".join(f"{name} {served_after_s[name]:.1f}" for name in served_after_s)
         return f"{recovery_s:8.1f} {starts - tasks - sum(counts):8d}   {served_columns}; running {counts}"
