--- a/bayford/coordination/controller.py
+++ b/bayford/coordination/controller.py
@@ -1,9 +1,8 @@
 """One controller: constructs its components, starts their threads, and serves users, workers and peers.
 
 Components are grouped by package: `leadership` (lease, leadership record, verification), `leader` (state and
-decisions of the leader, the resulting writes and cloud requests), `workers` (heartbeats) and `api` (jobs of
-users). All of them read one `WatchCache` and write to one key-value store through connections that count
-requests.
+decisions of the leader, its writes and cloud requests), `workers` (heartbeats) and `api` (jobs of users). All
+read one `WatchCache` and write to one key-value store through connections that count requests.
 """
 
 from __future__ import annotations
@@ -85,10 +84,9 @@
         threaded: bool = True,
         release: int = mesh.RELEASE,
     ) -> None:
-        """`incarnation`: identifies this process; must never have been used before. `peers` and `notify`: the
-        functions that poll each other controller and report cancellations to it. `pause` waits for an event;
-        tests advance their clock instead. Unless `threaded`, there is no reader thread and each caller of
-        `WatchCache.refresh` reads by itself."""
+        """`incarnation`: identifier of this process, never used before. `peers`, `notify`: the functions that
+        poll each other controller and report cancellations to it. `pause`: waits for an event; tests advance
+        their clock instead. Unless `threaded`, no thread reads: each caller of `WatchCache.refresh` does."""
         self.settings = settings
         self.name = settings.member
         self.incarnation = incarnation
@@ -339,8 +337,7 @@
         return max(MIN_WATCH_GAP_S, WATCH_GAP_FACTOR * self.settings.facts.nodes / self.limits.rps)
 
     def membership_step(self) -> float:
-        """Run a step of the leadership manager, then publish relayed heartbeats. Returns the seconds until
-        the next step."""
+        """Run a leadership step, then publish relayed heartbeats. Returns the seconds until the next step."""
         period_s = self.leadership.step()
         self.relay_publisher.publish()
         return period_s
--- a/bayford/coordination/leader/heartbeat_handler.py
+++ b/bayford/coordination/leader/heartbeat_handler.py
@@ -34,15 +34,11 @@
     ) -> int | None:
         """Apply a heartbeat and return the index of its machine, or None if it must not be answered.
 
-        A heartbeat is not answered if this controller is not the leader, the machine is deleted, or the
-        heartbeat belongs to an earlier epoch.
-
-        `sent_after` is a lower bound (steady clock) of the time at which the heartbeat was sent: the time of
-        the answer to the previous heartbeat on the same connection. A heartbeat may be delivered minutes
-        late, and nothing else bounds its age. `relay` is the controller that forwarded it, empty if the
-        worker sent it directly. `is_command_response` is true if it is the response to a direct command; the
-        answer to an earlier heartbeat may then still be in flight.
-        """
+        It is not answered if this controller is not the leader, the machine is deleted, or the epoch is an
+        earlier one. `sent_after`: lower bound (steady clock) of the sending time: when the previous heartbeat
+        on the connection was answered. Heartbeats may arrive minutes late; nothing else bounds their age.
+        `relay`: the controller that forwarded it, empty if sent directly. `is_command_response`: it responds
+        to a direct command; the answer to an earlier heartbeat may then still be in flight."""
         state = self._state
         with state.lock:
             if not state.leader or not state.complete or heartbeat.machine in state.deleted_machines:
@@ -51,8 +47,7 @@
             machine = state.get_or_add_machine(heartbeat.machine, now)
             order = (heartbeat.epoch, heartbeat.sequence)
             if order <= (machine.epoch, machine.sequence) and machine.registered:
-                # A newer heartbeat arrived first, for example the response to a direct command. This one has
-                # no new information, but can be answered.
+                # A newer heartbeat (e.g. a command response) came first. Nothing new, but can be answered.
                 return machine.index if heartbeat.epoch == machine.epoch else None
             state.last_heartbeat_received_at = now
             if heartbeat.epoch > machine.epoch:
--- a/bayford/coordination/leader/task_placer.py
+++ b/bayford/coordination/leader/task_placer.py
@@ -31,18 +31,15 @@
     ) -> None:
         """Place up to `count` waiting tasks of the job; a gang is placed as a whole.
 
-        `with_image_only`: use only machines that hold the job's image or are fetching it. `returning`: use
-        only machines in returning zones; if false, only machines in other zones.
-        """
+        `with_image_only`: use only machines that hold or are fetching the job's image. `returning`: use only
+        machines in returning zones; if false, only machines in other zones."""
         by_zone = job.spec.one_zone or job.spec.spread
         if by_zone and any(self._state.zone_of(p.machine) is None for p in job.open.values()):
-            # After a failover, a machine that runs tasks of the job may not have sent a heartbeat yet. Its
-            # zone is unknown, so the zone rules can't be checked.
+            # After a failover, a machine's zone is unknown until its heartbeat; zone rules can't be checked.
             job.waiting_reason = "zone of a running task unknown"
             return
         zone_counts = placement_rules.placements_by_zone(job, self._state.zone_of) if by_zone else {}
-        # If spot machines alone can finish the work in time, keep it off on-demand machines, so that these
-        # become idle and are deleted.
+        # Keep work that spot machines finish in time off on-demand ones, so that these idle and are deleted.
         spot_only = (
             not self._state.on_demand_needed
             and job.spec.priority < URGENT
--- a/bayford/scheduling/scaling.py
+++ b/bayford/scheduling/scaling.py
@@ -90,9 +90,8 @@
 ) -> list[LaunchPlan]:
     """Returns the launches for `demands`.
 
-    `booting` is the number of booting machines by pool; demands are assigned to these first. `refused` are
-    the pools for which the cloud recently refused a launch. `backlog_s` is the time that the present fleet
-    needs for its backlog.
+    `booting`: booting machines by pool; demands are assigned to these first. `refused`: pools for which the
+    cloud recently refused a launch. `backlog_s`: time that the present fleet needs for its backlog.
 
     Work that is not urgent waits for the present fleet if the fleet clears it within `patience_s`. On-demand
     machines are launched only if the backlog reaches `ordinary_after_s`, for tasks that would otherwise miss
--- a/bayford/storage/watch_cache.py
+++ b/bayford/storage/watch_cache.py
@@ -67,11 +67,9 @@
         clock: Callable[[], float] = time.monotonic,
         on_read: Callable[[], None] = lambda: None,
     ) -> None:
-        """`layout_bytes`: the value size that determines the task log's block size if the store has no layout
-        record. `listener`: called with the changed rows, without the lock on the rows. `threaded`: whether a
-        thread in `serve_refreshes` reads for `refresh`; otherwise the caller of `refresh` reads. `on_read`:
-        called after each read that advanced `as_of`.
-        """
+        """`layout_bytes`: value size that sets the task log's block size if the store has no layout record.
+        `listener`: called with changed rows, without the lock on them. `threaded`: whether a thread in
+        `serve_refreshes` reads for callers of `refresh`. `on_read`: called after a read advanced `as_of`."""
         self._store = store
         self._layout_bytes = layout_bytes
         self._listener = listener
@@ -79,11 +77,10 @@
         self._clock = clock
         self._on_read = on_read
         # Serializes deliveries: held from the update of the cache until the listener has returned. Rows are
-        # therefore delivered in the order in which they are applied, and a thread that reads returns only
-        # after everything in its read has been delivered. Otherwise a second read, whose rows are already
-        # cached and thus not delivered again, could return and count as proof that all cancellations up to
-        # then were handled while the listener has not handled one of them. Reentrant, because a listener may
-        # apply rows itself. Acquired before `_lock`, never while `_lock` is held.
+        # thus delivered in the order in which they are applied, and a read returns only after all its rows
+        # are delivered. Otherwise a second read, whose rows are cached and not delivered again, could return
+        # and count as proof that all earlier cancellations were handled while the listener has yet to handle
+        # one. Reentrant: a listener may apply rows. Acquired before `_lock`, never while that is held.
         self._delivery_lock = threading.RLock()
         # Guards the rows, the state derived from them and the two flags below. Held for short computations
         # only, never during a request or a call of the listener.
